--- a/test/system/fleet_test.go
+++ b/test/system/fleet_test.go
@@ -33,6 +33,10 @@
 	serverPort   = 7007
 )
 
+// maxQuorumAgeMillis is how long ago, in milliseconds, a control instance may have been in contact with a quorum to
+// answer operators.
+const maxQuorumAgeMillis = 4000
+
 var addresses atomic.Uint32
 
 // fleet is a set of processes of one test.
@@ -202,12 +206,16 @@
 	waitForListener(f.t, control)
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		var status struct {
-			Leader string `json:"leader"`
+			Leader          string `json:"leader"`
+			QuorumAgeMillis int    `json:"quorum_age_millis"`
 		}
 		assert.NilError(f.t, json.Unmarshal([]byte(f.operate(control, "status", "--json")), &status))
 		if status.Leader == "" {
 			return poll.Continue("no leader")
 		}
+		if status.QuorumAgeMillis > maxQuorumAgeMillis {
+			return poll.Continue("leader %s has not committed an entry of its term", status.Leader)
+		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(50*time.Millisecond))
 	f.operate(control, "profile", "apply", f.write("p", profileText))
