--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	defaultQueueTime = 25 * time.Millisecond
-	longestQueueTime = 250 * time.Millisecond
-	queuedLives      = 1 // service times that a call may wait
-	defaultWindow    = 100 * time.Millisecond
-	probeInterval    = time.Second
+	defaultQueueTime   = 25 * time.Millisecond
+	maxQueueTime       = 250 * time.Millisecond
+	queuedServiceTimes = 1 // service times that a call may wait in the queue
+	defaultWindow      = 100 * time.Millisecond
+	probeInterval      = time.Second
 )
 
-// Config builds a Controller.
+// Config configures a Controller.
 type Config struct {
-	// QueueTime is how long a call waits for a slot of a fast backend server, 25 ms when 0.
+	// QueueTime is how long a call may wait for a slot at a backend server with short service times, 25 ms when 0.
 	QueueTime time.Duration
-	// Stated says that the backend server runs as many calls at once as it announced, with no loss of throughput. The limit is
-	// not learnt then: service times tell nothing where calls of 30 ms and of 500 ms share the slots.
-	Stated bool
-	// Window is the time between two changes of the limit or the cut-off, 100 ms when 0.
+	// FixedLimit makes the announced slots the limit, for a backend server that runs that many calls at once without
+	// losing throughput. Where calls of 30 ms and of 500 ms share the slots, service times do not show overload.
+	FixedLimit bool
+	// Window is the least time between two changes of the limit or of the cut-off, 100 ms when 0.
 	Window time.Duration
 }
 
-// Verdict says what happens to a call.
+// Verdict is the decision on a call.
 type Verdict uint8
 
-// Verdicts on a call.
+// Decisions on a call.
 const (
 	// Wait keeps the call in the queue.
 	Wait Verdict = iota
-	// Run gives the call a slot, which is released later.
+	// Run starts the call on a slot, which Controller.Release frees.
 	Run
-	// Overloaded sheds the call because more important ones take all slots.
+	// Overloaded sheds the call because calls with a lower rank take all slots.
 	Overloaded
-	// Late drops the call because it can't meet its deadline.
-	Late
-	// Absent refuses the call because no backend server has announced itself.
-	Absent
+	// DeadlineMissed drops the call because it cannot end by its deadline.
+	DeadlineMissed
+	// NoBackend refuses the call because no backend server has announced slots.
+	NoBackend
 )
 
-// Effect is the verdict on a call that was waiting.
-type Effect struct {
+// Decision is the verdict on a call that was waiting.
+type Decision struct {
 	id      CallID
 	verdict Verdict
 }
 
-// ID returns the call's name.
-func (e Effect) ID() CallID { return e.id }
+// ID returns the identifier of the call.
+func (d Decision) ID() CallID { return d.id }
 
-// Verdict returns what happens to the call.
-func (e Effect) Verdict() Verdict { return e.verdict }
+// Verdict returns the verdict on the call.
+func (d Decision) Verdict() Verdict { return d.verdict }
 
-// Controller decides on the calls to one backend server.
+// Controller decides which calls one backend server runs. It is not safe for concurrent use.
 type Controller struct {
-	queueTime time.Duration
-	window    time.Duration
-	limit     limit
-	queue     queue
-	threshold threshold
-	running   int
-	answered  time.Time
-	binding   time.Time
+	queueTime     time.Duration
+	window        time.Duration
+	limit         limit
+	queue         queue
+	threshold     threshold
+	running       int
+	lastRelease   time.Time
+	sheddingSince time.Time
 }
 
-// New returns a controller without a backend server.
+// New returns a controller for a backend server that has not announced its slots.
 func New(c Config) *Controller {
 	if c.QueueTime == 0 {
 		c.QueueTime = defaultQueueTime
@@ -74,126 +74,127 @@
 	if c.Window == 0 {
 		c.Window = defaultWindow
 	}
-	return &Controller{queueTime: c.QueueTime, window: c.Window, limit: limit{stated: c.Stated}, threshold: newThreshold()}
+	return &Controller{queueTime: c.QueueTime, window: c.Window, limit: limit{fixed: c.FixedLimit}, threshold: newThreshold()}
 }
 
-// Resize takes in the slots that the backend server announced, 0 when it is gone, and returns what follows for waiting calls.
-func (c *Controller) Resize(now time.Time, slots int) []Effect {
-	c.limit.resize(slots)
-	return c.fill(now, nil)
+// SetSlots sets the number of slots that the backend server announced, 0 when it is gone, and returns the decisions on
+// waiting calls.
+func (c *Controller) SetSlots(now time.Time, slots int) []Decision {
+	c.limit.setSlots(slots)
+	return c.startWaiting(now, nil)
 }
 
-// Offer decides on a new call and returns what follows for calls that were waiting.
-func (c *Controller) Offer(now time.Time, id CallID, r figpier.Rank, deadline time.Time) (Verdict, []Effect) {
-	c.turn(now)
-	if c.limit.whole() == 0 {
-		return Absent, nil
+// Submit decides on a new call and returns the decisions on calls that were waiting.
+func (c *Controller) Submit(now time.Time, id CallID, r figpier.Rank, deadline time.Time) (Verdict, []Decision) {
+	c.closeWindows(now)
+	if c.limit.calls() == 0 {
+		return NoBackend, nil
 	}
-	if c.late(now, deadline) {
-		return Late, nil
+	if c.missesDeadline(now, deadline) {
+		return DeadlineMissed, nil
 	}
-	c.threshold.offer(r)
+	c.threshold.addOffered(r)
 	c.limit.offered++
-	if c.queue.len() == 0 && c.running < c.limit.whole() {
+	if c.queue.len() == 0 && c.running < c.limit.calls() {
 		c.start()
 		return Run, nil
 	}
 	c.limit.blocked++
 	if r.Refused(c.threshold.value) {
-		c.bind(now)
+		c.markShedding(now)
 		return Overloaded, nil
 	}
-	c.queue.push(waiting{id: id, rank: r, until: now.Add(c.QueueTime()), deadline: deadline})
-	return c.trim(now, id)
+	c.queue.push(queuedCall{id: id, rank: r, expires: now.Add(c.QueueTime()), deadline: deadline})
+	return c.trimQueue(now, id)
 }
 
-// trim sheds the least important call when the queue is longer than what can run within the queue time.
-func (c *Controller) trim(now time.Time, newest CallID) (Verdict, []Effect) {
-	if c.queue.len() <= c.room() {
+// trimQueue sheds the last call of the queue if the queue exceeds its maximum length.
+func (c *Controller) trimQueue(now time.Time, newest CallID) (Verdict, []Decision) {
+	if c.queue.len() <= c.maxQueueLength() {
 		return Wait, nil
 	}
-	c.overload(now)
+	c.countShed(now)
 	w := c.queue.popWorst()
 	if w.id == newest {
 		return Overloaded, nil
 	}
-	return Wait, []Effect{{id: w.id, verdict: Overloaded}}
+	return Wait, []Decision{{id: w.id, verdict: Overloaded}}
 }
 
-// Release takes a slot back and returns what follows for waiting calls.
-func (c *Controller) Release(now time.Time, o figpier.Outcome) []Effect {
+// Release frees the slot of a call that ended, and returns the decisions on waiting calls.
+func (c *Controller) Release(now time.Time, o figpier.Outcome) []Decision {
 	c.running--
-	c.answered = now
+	c.lastRelease = now
 	switch o.Kind() {
 	case figpier.OutcomeDone:
 		c.limit.observe(o.Own())
 	case figpier.OutcomeOverloaded:
-		c.limit.shed = true
+		c.limit.rejected = true
 	default:
 	}
-	c.turn(now)
-	return c.fill(now, nil)
+	c.closeWindows(now)
+	return c.startWaiting(now, nil)
 }
 
-// Cancel takes a call out of the queue and reports whether it was still waiting.
+// Cancel removes a call from the queue and reports whether it was still waiting.
 func (c *Controller) Cancel(id CallID) bool { return c.queue.remove(id) }
 
-// Expire sheds the calls that have waited too long and returns what follows.
-func (c *Controller) Expire(now time.Time) []Effect {
-	c.turn(now)
-	old := c.queue.takeIf(func(w waiting) bool { return !now.Before(w.until) })
-	var effects []Effect
-	for _, w := range old {
-		c.overload(now)
-		effects = append(effects, Effect{id: w.id, verdict: Overloaded})
+// Expire sheds the calls that have waited for their full queue time, and returns the decisions on waiting calls.
+func (c *Controller) Expire(now time.Time) []Decision {
+	c.closeWindows(now)
+	expired := c.queue.removeIf(func(w queuedCall) bool { return !now.Before(w.expires) })
+	var decisions []Decision
+	for _, w := range expired {
+		c.countShed(now)
+		decisions = append(decisions, Decision{id: w.id, verdict: Overloaded})
 	}
-	return c.fill(now, effects)
+	return c.startWaiting(now, decisions)
 }
 
-// CutOff returns the lowest rank that is refused at once, or figpier.MaxRank when none is.
+// CutOff returns the lowest rank that is refused without queueing, or figpier.MaxRank when none is.
 func (c *Controller) CutOff(now time.Time) figpier.Rank {
-	c.turn(now)
+	c.closeWindows(now)
 	return c.threshold.value
 }
 
-// QueueTime returns how long a call that is offered now waits at most.
+// QueueTime returns how long a call that is submitted now may wait.
 func (c *Controller) QueueTime() time.Duration {
-	return max(c.queueTime, min(queuedLives*c.limit.baseline, longestQueueTime))
+	return max(c.queueTime, min(queuedServiceTimes*c.limit.baseline, maxQueueTime))
 }
 
 // Limit returns the number of calls that may run at once.
-func (c *Controller) Limit() int { return c.limit.whole() }
+func (c *Controller) Limit() int { return c.limit.calls() }
 
 // Slots returns the number of slots that the backend server announced.
 func (c *Controller) Slots() int { return c.limit.slots }
 
-// Running returns the number of calls that run.
+// Running returns the number of calls that hold a slot.
 func (c *Controller) Running() int { return c.running }
 
-// Waiting returns the number of calls that wait.
+// Waiting returns the number of calls in the queue.
 func (c *Controller) Waiting() int { return c.queue.len() }
 
-// BindingSince returns when calls began to be shed, the zero time when none are.
-func (c *Controller) BindingSince(now time.Time) time.Time {
-	c.turn(now)
-	return c.binding
+// SheddingSince returns when the controller began to shed calls, the zero time when it sheds none.
+func (c *Controller) SheddingSince(now time.Time) time.Time {
+	c.closeWindows(now)
+	return c.sheddingSince
 }
 
-// fill starts the most important waiting calls while slots are free.
-func (c *Controller) fill(now time.Time, effects []Effect) []Effect {
-	for c.queue.len() > 0 && c.running < c.limit.whole() {
+// startWaiting starts the waiting calls with the lowest ranks while slots are free.
+func (c *Controller) startWaiting(now time.Time, decisions []Decision) []Decision {
+	for c.queue.len() > 0 && c.running < c.limit.calls() {
 		w := c.queue.popBest()
-		if c.late(now, w.deadline) {
-			effects = append(effects, Effect{id: w.id, verdict: Late})
+		if c.missesDeadline(now, w.deadline) {
+			decisions = append(decisions, Decision{id: w.id, verdict: DeadlineMissed})
 			continue
 		}
 		c.start()
-		effects = append(effects, Effect{id: w.id, verdict: Run})
+		decisions = append(decisions, Decision{id: w.id, verdict: Run})
 	}
-	if c.running < c.limit.whole() {
-		c.threshold.idle = true
+	if c.running < c.limit.calls() {
+		c.threshold.slotsFree = true
 	}
-	return effects
+	return decisions
 }
 
 func (c *Controller) start() {
@@ -201,43 +202,46 @@
 	c.threshold.started++
 }
 
-// late reports whether a call can't end by its deadline; a backend server without recent answers is probed in any case.
-func (c *Controller) late(now, deadline time.Time) bool {
+// missesDeadline reports whether a call cannot end by its deadline. When nothing has run for probeInterval, every call whose
+// deadline has not passed is admitted, to measure the service time again.
+func (c *Controller) missesDeadline(now, deadline time.Time) bool {
 	left := deadline.Sub(now)
 	if left <= 0 {
 		return true
 	}
-	probe := c.running == 0 && now.Sub(c.answered) > probeInterval
+	probe := c.running == 0 && now.Sub(c.lastRelease) > probeInterval
 	return !probe && left < c.limit.baseline
 }
 
-// room returns the length of the queue that can run within the queue time.
-func (c *Controller) room() int {
-	whole := c.limit.whole()
+// maxQueueLength returns the number of calls that can start within the queue time.
+func (c *Controller) maxQueueLength() int {
+	limit := c.limit.calls()
 	if c.limit.baseline == 0 {
-		return whole
+		return limit
 	}
-	served := float64(whole) * c.QueueTime().Seconds() / c.limit.baseline.Seconds()
-	return max(1, min(int(served), maxQueuePerSlot*whole))
+	servable := float64(limit) * c.QueueTime().Seconds() / c.limit.baseline.Seconds()
+	return max(1, min(int(servable), maxQueuePerSlot*limit))
 }
 
+// maxQueuePerSlot is the number of waiting calls per call that the limit allows to run.
 const maxQueuePerSlot = 8
 
-func (c *Controller) overload(now time.Time) {
+// countShed records a call that the queue shed.
+func (c *Controller) countShed(now time.Time) {
 	c.threshold.shed++
-	c.bind(now)
+	c.markShedding(now)
 }
 
-func (c *Controller) bind(now time.Time) {
-	if c.binding.IsZero() {
-		c.binding = now
+func (c *Controller) markShedding(now time.Time) {
+	if c.sheddingSince.IsZero() {
+		c.sheddingSince = now
 	}
 }
 
-func (c *Controller) turn(now time.Time) {
-	c.limit.turn(now, c.window)
-	c.threshold.turn(now, c.window)
+func (c *Controller) closeWindows(now time.Time) {
+	c.limit.closeWindow(now, c.window)
+	c.threshold.closeWindows(now, c.window)
 	if c.threshold.value == figpier.MaxRank && c.threshold.shed == 0 {
-		c.binding = time.Time{}
+		c.sheddingSince = time.Time{}
 	}
 }
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -10,90 +10,91 @@
 	"github.com/figpier/figpier"
 )
 
-// twin keeps waiting calls in the order of arrival and searches all of them for each decision.
-type twin struct {
-	limit, room, running int
-	calls                []waiting
+// referenceQueue is a simple model of the controller's queue: it keeps waiting calls in the order of arrival and scans all
+// of them for each decision.
+type referenceQueue struct {
+	limit, maxLength, running int
+	calls                     []queuedCall
 }
 
-// better reports whether a runs before b, where a came later.
-func better(a, b waiting) bool { return a.rank <= b.rank }
+// runsBefore reports whether a starts before b, where a arrived later.
+func runsBefore(a, b queuedCall) bool { return a.rank <= b.rank }
 
-func (w *twin) best() (at int) {
+func (w *referenceQueue) best() (at int) {
 	for i := range w.calls {
-		if better(w.calls[i], w.calls[at]) {
+		if runsBefore(w.calls[i], w.calls[at]) {
 			at = i
 		}
 	}
 	return at
 }
 
-func (w *twin) worst() (at int) {
+func (w *referenceQueue) worst() (at int) {
 	for i := range w.calls {
-		if !better(w.calls[i], w.calls[at]) {
+		if !runsBefore(w.calls[i], w.calls[at]) {
 			at = i
 		}
 	}
 	return at
 }
 
-func (w *twin) take(at int) CallID {
+func (w *referenceQueue) remove(at int) CallID {
 	id := w.calls[at].id
-	w.calls = append(append([]waiting(nil), w.calls[:at]...), w.calls[at+1:]...)
+	w.calls = append(append([]queuedCall(nil), w.calls[:at]...), w.calls[at+1:]...)
 	return id
 }
 
-func (w *twin) offer(c waiting) (Verdict, []Effect) {
+func (w *referenceQueue) offer(c queuedCall) (Verdict, []Decision) {
 	if len(w.calls) == 0 && w.running < w.limit {
 		w.running++
 		return Run, nil
 	}
 	w.calls = append(w.calls, c)
-	if len(w.calls) <= w.room {
+	if len(w.calls) <= w.maxLength {
 		return Wait, nil
 	}
-	if shed := w.take(w.worst()); shed != c.id {
-		return Wait, []Effect{{id: shed, verdict: Overloaded}}
+	if shed := w.remove(w.worst()); shed != c.id {
+		return Wait, []Decision{{id: shed, verdict: Overloaded}}
 	}
 	return Overloaded, nil
 }
 
-func (w *twin) fill(effects []Effect) []Effect {
+func (w *referenceQueue) startWaiting(effects []Decision) []Decision {
 	for len(w.calls) > 0 && w.running < w.limit {
 		w.running++
-		effects = append(effects, Effect{id: w.take(w.best()), verdict: Run})
+		effects = append(effects, Decision{id: w.remove(w.best()), verdict: Run})
 	}
 	return effects
 }
 
-func (w *twin) expire(now time.Time) []Effect {
-	var effects []Effect
+func (w *referenceQueue) expire(now time.Time) []Decision {
+	var effects []Decision
 	for i := 0; i < len(w.calls); {
-		if !now.Before(w.calls[i].until) {
-			effects = append(effects, Effect{id: w.take(i), verdict: Overloaded})
+		if !now.Before(w.calls[i].expires) {
+			effects = append(effects, Decision{id: w.remove(i), verdict: Overloaded})
 			continue
 		}
 		i++
 	}
-	return w.fill(effects)
+	return w.startWaiting(effects)
 }
 
-func TestControllerDecidesAsTheNaiveTwin(t *testing.T) {
+func TestControllerMatchesReferenceQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, never := time.Unix(0, 0), time.Unix(1e6, 0)
 		c := New(Config{Window: time.Hour})
-		c.Resize(now, rapid.IntRange(1, 20).Draw(t, "slots"))
-		w := &twin{limit: c.Limit(), room: c.room()}
+		c.SetSlots(now, rapid.IntRange(1, 20).Draw(t, "slots"))
+		w := &referenceQueue{limit: c.Limit(), maxLength: c.maxQueueLength()}
 		var next CallID
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "gap")) * time.Millisecond)
-			var got, want []Effect
+			var got, want []Decision
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1, 2:
 				next++
 				r := figpier.Rank(rapid.IntRange(0, 9).Draw(t, "rank"))
-				v, e := c.Offer(now, next, r, never)
-				wv, we := w.offer(waiting{id: next, rank: r, until: now.Add(c.QueueTime())})
+				v, e := c.Submit(now, next, r, never)
+				wv, we := w.offer(queuedCall{id: next, rank: r, expires: now.Add(c.QueueTime())})
 				assert.Equal(t, v, wv)
 				got, want = e, we
 			case 3:
@@ -102,49 +103,49 @@
 				}
 				w.running--
 				got = c.Release(now, figpier.NewOutcome(figpier.OutcomeFailed, 0))
-				want = w.fill(nil)
+				want = w.startWaiting(nil)
 			default:
 				got, want = c.Expire(now), w.expire(now)
 			}
-			assert.DeepEqual(t, sorted(got), sorted(want), effectsEqual)
+			assert.DeepEqual(t, sortedByID(got), sortedByID(want), compareDecisions)
 			assert.Equal(t, c.Waiting(), len(w.calls))
 			assert.Equal(t, c.Running(), w.running)
 		}
 	})
 }
 
-func TestLateCallsAreDroppedBeforeTheyRun(t *testing.T) {
+func TestCallsThatMissTheirDeadlineAreDropped(t *testing.T) {
 	now := time.Unix(0, 0)
 	c := New(Config{QueueTime: 60 * time.Millisecond})
-	c.Resize(now, 1)
+	c.SetSlots(now, 1)
 	c.limit.baseline = 20 * time.Millisecond
-	v, _ := c.Offer(now, 1, 1, now.Add(time.Second))
+	v, _ := c.Submit(now, 1, 1, now.Add(time.Second))
 	assert.Equal(t, v, Run)
-	v, _ = c.Offer(now, 2, 1, now.Add(10*time.Millisecond))
-	assert.Equal(t, v, Late)
-	v, _ = c.Offer(now, 3, 2, now.Add(25*time.Millisecond))
+	v, _ = c.Submit(now, 2, 1, now.Add(10*time.Millisecond))
+	assert.Equal(t, v, DeadlineMissed)
+	v, _ = c.Submit(now, 3, 2, now.Add(25*time.Millisecond))
 	assert.Equal(t, v, Wait)
-	v, _ = c.Offer(now, 4, 3, now.Add(time.Second))
+	v, _ = c.Submit(now, 4, 3, now.Add(time.Second))
 	assert.Equal(t, v, Wait)
 	got := c.Release(now.Add(10*time.Millisecond), figpier.NewOutcome(figpier.OutcomeDone, 20*time.Millisecond))
-	assert.DeepEqual(t, got, []Effect{{id: 3, verdict: Late}, {id: 4, verdict: Run}}, effectsEqual)
+	assert.DeepEqual(t, got, []Decision{{id: 3, verdict: DeadlineMissed}, {id: 4, verdict: Run}}, compareDecisions)
 }
 
-func TestStatedSlotsStayTheLimit(t *testing.T) {
+func TestFixedLimitStaysAtTheAnnouncedSlots(t *testing.T) {
 	now := time.Unix(0, 0)
-	c := New(Config{Stated: true})
-	c.Resize(now, 4)
+	c := New(Config{FixedLimit: true})
+	c.SetSlots(now, 4)
 	id := CallID(0)
 	for range 200 {
 		id++
-		v, _ := c.Offer(now, id, 1, now.Add(time.Minute))
+		v, _ := c.Submit(now, id, 1, now.Add(time.Minute))
 		assert.Equal(t, v, Run)
 		now = now.Add(50 * time.Millisecond)
 		c.Release(now, figpier.NewOutcome(figpier.OutcomeOverloaded, 50*time.Millisecond))
 	}
-	assert.Equal(t, c.Limit(), 4, "calls that the backend server turned away lower no stated limit")
+	assert.Equal(t, c.Limit(), 4, "calls that the backend server rejected do not lower a fixed limit")
 	for i := range 4 {
-		v, _ := c.Offer(now, id+1+CallID(i), 1, now.Add(time.Minute))
+		v, _ := c.Submit(now, id+1+CallID(i), 1, now.Add(time.Minute))
 		assert.Equal(t, v, Run)
 	}
 }
--- a/internal/policy/admission/limit.go
+++ b/internal/policy/admission/limit.go
@@ -6,109 +6,110 @@
 )
 
 const (
-	coldShare            = 0.5 // part of the announced slots that a cold backend server starts with
-	rampFactor           = 1.5
-	growShare            = 0.05
-	slowFactor           = 1.5 // service time over the baseline that starts a trial
-	trialFactor          = 0.8
-	trialLoss            = 0.5 // part of the expected loss of throughput that ends a trial
-	saturatedShare       = 0.5 // part of the offered calls that found no free slot
-	leastTrialLimit      = 8
-	shedFactor           = 0.9
-	growBelow            = 1.2 // service time over the baseline up to which the limit grows
-	baselineGain         = 0.3
-	windowSamples        = 20
-	rampSamples          = 4
-	trialSamples         = 80
-	leastTrial           = 20 // answers without which a trial says nothing
-	longestLimitWindow   = 2 * time.Second
-	changedShare         = 0.7 // part of the expected service time below which the backend server itself has changed
-	trialLives           = 4   // generations of calls in a window of a trial
-	trialInterval        = 4 * time.Second
-	longestTrialInterval = time.Minute
+	initialShare     = 0.5 // share of the announced slots that a backend server starts with
+	rampFactor       = 1.5
+	growShare        = 0.05
+	slowRatio        = 1.5 // ratio of the service time to the baseline above which the limit is tried lower
+	trialFactor      = 0.8
+	trialLossShare   = 0.5 // share of the expected loss of throughput that ends a trial
+	saturatedShare   = 0.5 // share of the offered calls that found no free slot
+	minTrialLimit    = 8
+	shedFactor       = 0.9
+	growRatio        = 1.2 // ratio of the service time to the baseline up to which the limit grows
+	baselineGain     = 0.3
+	windowSamples    = 20
+	rampSamples      = 4
+	trialSamples     = 80
+	minTrialAnswers  = 20 // a trial with fewer answers is inconclusive
+	maxLimitWindow   = 2 * time.Second
+	recoveredShare   = 0.7 // service time, as a share of the expected one, below which the backend server itself has become faster
+	trialGenerations = 4   // window of a trial, in generations of calls
+	minTrialInterval = 4 * time.Second
+	maxTrialInterval = time.Minute
 )
 
-// limit is the number of calls that a backend server runs at once, learnt from the service times of its answers.
+// limit is the number of calls that a backend server runs at once, derived from the service times of its answers.
 //
-// Service time over the baseline has two causes. Where the backend server queues inside, fewer calls at once give the same
-// throughput in less time. Where it has become slower, fewer calls at once give less throughput. A trial with a lower limit
-// tells them apart: it is kept and followed by a lower one in the first case, and undone with a new baseline in the second. A trial is also made from
-// time to time at a service time that looks right, so that a wrong baseline does not last.
+// A service time above the baseline has two possible causes. If the backend server queues calls internally, a lower limit
+// gives the same throughput with shorter service times. If the backend server has become slower, a lower limit
+// reduces the throughput. A trial with a lower limit tells them apart: in the first case the limit stays and a
+// lower one is tried next, in the second case the limit is restored and the baseline raised. Trials are also made
+// periodically while service times look normal, so that a wrong baseline is corrected.
 type limit struct {
-	slots    int
-	value    float64
+	slots    int     // announced by the backend server, 0 while there is none
+	value    float64 // the limit, of which calls returns the whole part
 	baseline time.Duration
-	ramping  bool
-
-	opened  time.Time
-	done    int
-	total   time.Duration
-	offered int
-	blocked int
-	shed    bool
-
-	trial    trial
-	tried    time.Time
-	interval time.Duration
-	// stated says that the slots are the limit, whatever the service times say.
-	stated bool
+	ramping  bool // the limit still grows fast after the start of the backend server
+
+	windowStart      time.Time
+	answers          int
+	totalServiceTime time.Duration
+	offered          int
+	blocked          int
+	rejected         bool
+
+	trial         trial
+	lastTrial     time.Time
+	trialInterval time.Duration
+	// fixed makes the limit equal to the slots. Service times then only set the baseline.
+	fixed bool
 }
 
-// trial is a lower limit whose throughput is compared with the one before it.
+// trial is a lowered limit whose throughput is compared with that of the limit before it.
 type trial struct {
-	active  bool
-	settled bool
-	before  float64
-	rate    float64
-	mean    time.Duration
+	active        bool
+	settled       bool
+	previousLimit float64
+	throughput    float64
+	serviceTime   time.Duration
 }
 
-// resize takes in the slots that the backend server announced.
-func (l *limit) resize(slots int) {
+// setSlots sets the announced slots. A backend server that comes back after 0 slots starts with a part of them.
+func (l *limit) setSlots(slots int) {
 	cold := l.slots == 0 && slots > 0
 	l.slots = slots
-	if l.stated {
+	if l.fixed {
 		l.value = float64(slots)
 		return
 	}
 	if cold {
-		l.value = max(1, math.Ceil(coldShare*float64(slots)))
+		l.value = max(1, math.Ceil(initialShare*float64(slots)))
 		l.ramping = true
 		l.trial = trial{}
-		l.interval = trialInterval
+		l.trialInterval = minTrialInterval
 	}
 	l.value = min(l.value, float64(slots))
 }
 
-// observe takes in the service time of a whole answer.
+// observe records the service time of a complete answer.
 func (l *limit) observe(elapsed time.Duration) {
-	l.done++
-	l.total += elapsed
+	l.answers++
+	l.totalServiceTime += elapsed
 }
 
-// turn closes the window when it is long enough and has seen a whole generation of calls.
-func (l *limit) turn(now time.Time, window time.Duration) {
-	if l.opened.IsZero() {
-		l.opened = now
+// closeWindow adjusts the limit and starts a new window, once the window is long enough and has enough answers.
+func (l *limit) closeWindow(now time.Time, window time.Duration) {
+	if l.windowStart.IsZero() {
+		l.windowStart = now
 	}
-	age := now.Sub(l.opened)
-	if age < window || l.done < l.enough() && !l.shed && age < longestLimitWindow {
+	age := now.Sub(l.windowStart)
+	if age < window || l.answers < l.minAnswers() && !l.rejected && age < maxLimitWindow {
 		return
 	}
-	if l.done > 0 {
-		l.adjust(now, l.total/time.Duration(l.done), float64(l.done)/age.Seconds())
+	if l.answers > 0 {
+		l.adjust(now, l.totalServiceTime/time.Duration(l.answers), float64(l.answers)/age.Seconds())
 	}
-	l.opened, l.done, l.total = now, 0, 0
-	l.offered, l.blocked, l.shed = 0, 0, false
+	l.windowStart, l.answers, l.totalServiceTime = now, 0, 0
+	l.offered, l.blocked, l.rejected = 0, 0, false
 }
 
-// enough returns the answers that a window needs.
-func (l *limit) enough() int {
+// minAnswers returns the number of answers that the open window needs.
+func (l *limit) minAnswers() int {
 	if l.trial.active && !l.trial.settled {
-		return int(l.trial.before) + 1
+		return int(l.trial.previousLimit) + 1
 	}
-	if l.trial.active || l.slow() {
-		return max(trialSamples, trialLives*int(l.value))
+	if l.trial.active || l.aboveBaseline() {
+		return max(trialSamples, trialGenerations*int(l.value))
 	}
 	if l.ramping {
 		return max(rampSamples, int(l.value))
@@ -116,53 +117,54 @@
 	return max(windowSamples, int(l.value))
 }
 
-// slow reports whether the service times of the open window are over the baseline.
-func (l *limit) slow() bool {
-	return l.done > 0 && l.total.Seconds()/float64(l.done) > slowFactor*l.baseline.Seconds()
+// aboveBaseline reports whether the mean service time of the open window exceeds slowRatio times the baseline.
+func (l *limit) aboveBaseline() bool {
+	return l.answers > 0 && l.totalServiceTime.Seconds()/float64(l.answers) > slowRatio*l.baseline.Seconds()
 }
 
-func (l *limit) adjust(now time.Time, mean time.Duration, rate float64) {
-	l.learn(mean)
-	if l.stated {
+// adjust sets the limit from the mean service time and the throughput, in answers per second, of the closed window.
+func (l *limit) adjust(now time.Time, mean time.Duration, throughput float64) {
+	l.lowerBaseline(mean)
+	if l.fixed {
 		return
 	}
 	switch {
-	case l.shed:
+	case l.rejected:
 		l.ramping = false
 		l.value = max(1, shedFactor*l.value)
 	case l.trial.active:
-		l.judge(mean, rate, l.done)
-	case l.ramping && float64(mean) <= slowFactor*float64(l.baseline):
+		l.evaluateTrial(mean, throughput, l.answers)
+	case l.ramping && float64(mean) <= slowRatio*float64(l.baseline):
 		l.value *= rampFactor
 		l.ramping = l.value < float64(l.slots)
 	case !l.saturated():
-	case l.due(now, mean):
+	case l.trialDue(now, mean):
 		l.ramping = false
-		l.tried = now
-		l.lower(rate, mean)
-	case float64(mean) <= growBelow*float64(l.baseline):
+		l.lastTrial = now
+		l.startTrial(throughput, mean)
+	case float64(mean) <= growRatio*float64(l.baseline):
 		l.value += max(1, growShare*l.value)
 	default:
 	}
 	l.value = min(l.value, float64(l.slots))
 }
 
-// saturated reports whether the limit held back a good part of the calls of the window.
+// saturated reports whether the limit delayed or refused a large share of the window's calls.
 func (l *limit) saturated() bool {
 	return float64(l.blocked) > saturatedShare*float64(l.offered)
 }
 
-// due reports whether a trial is made: where the service time is over the baseline, and from time to time also where it looks
-// right. In the latter case a small limit is left alone, because a step down takes a large part of it.
-func (l *limit) due(now time.Time, mean time.Duration) bool {
-	if now.Sub(l.tried) <= l.interval {
+// trialDue reports whether to start a trial. A limit below minTrialLimit gets one only if the service time is above
+// the baseline, because a single step takes a large share of it.
+func (l *limit) trialDue(now time.Time, mean time.Duration) bool {
+	if now.Sub(l.lastTrial) <= l.trialInterval {
 		return false
 	}
-	return l.value >= leastTrialLimit || float64(mean) > slowFactor*float64(l.baseline)
+	return l.value >= minTrialLimit || float64(mean) > slowRatio*float64(l.baseline)
 }
 
-// learn moves the baseline down towards a shorter service time.
-func (l *limit) learn(mean time.Duration) {
+// lowerBaseline moves the baseline towards a shorter mean service time.
+func (l *limit) lowerBaseline(mean time.Duration) {
 	if l.baseline == 0 {
 		l.baseline = mean
 	}
@@ -171,46 +173,47 @@
 	}
 }
 
-// judge ends a trial one window after the calls of the higher limit have ended.
-func (l *limit) judge(mean time.Duration, rate float64, answers int) {
+// evaluateTrial decides whether a trial's lower limit stays. The first window of a trial is skipped, because it
+// still contains calls that started under the higher limit.
+func (l *limit) evaluateTrial(mean time.Duration, throughput float64, answers int) {
 	if !l.trial.settled {
 		l.trial.settled = true
 		return
 	}
-	left := float64(l.whole()) / float64(int(l.trial.before))
-	changed := mean.Seconds() < changedShare*left*l.trial.mean.Seconds()
-	if changed || answers < leastTrial {
-		l.undo()
+	limitRatio := float64(l.calls()) / float64(int(l.trial.previousLimit))
+	recovered := mean.Seconds() < recoveredShare*limitRatio*l.trial.serviceTime.Seconds()
+	if recovered || answers < minTrialAnswers {
+		l.revertTrial()
 		return
 	}
-	if rate < l.trial.rate*(1-trialLoss*(1-left)) {
+	if throughput < l.trial.throughput*(1-trialLossShare*(1-limitRatio)) {
 		l.baseline = mean
-		l.undo()
+		l.revertTrial()
 		return
 	}
-	l.interval = trialInterval
-	l.lower(max(rate, l.trial.rate), mean)
+	l.trialInterval = minTrialInterval
+	l.startTrial(max(throughput, l.trial.throughput), mean)
 }
 
-// undo goes back to the limit before the trial, and waits longer for the next one.
-func (l *limit) undo() {
-	l.value = l.trial.before
+// revertTrial restores the limit from before the trial and doubles the time until the next one.
+func (l *limit) revertTrial() {
+	l.value = l.trial.previousLimit
 	l.trial = trial{}
-	l.interval = min(2*l.interval, longestTrialInterval)
+	l.trialInterval = min(2*l.trialInterval, maxTrialInterval)
 }
 
-// lower begins a trial whose throughput and service time are compared with a rate and a mean.
-func (l *limit) lower(rate float64, mean time.Duration) {
+// startTrial lowers the limit and records the throughput and service time to compare the result with.
+func (l *limit) startTrial(throughput float64, serviceTime time.Duration) {
 	if l.value <= 1 {
 		l.trial = trial{}
 		return
 	}
-	l.trial = trial{active: true, before: l.value, rate: rate, mean: mean}
+	l.trial = trial{active: true, previousLimit: l.value, throughput: throughput, serviceTime: serviceTime}
 	l.value = max(1, min(trialFactor*l.value, float64(int(l.value)-1)))
 }
 
-// whole returns the limit in calls, 0 while no backend server has announced itself.
-func (l *limit) whole() int {
+// calls returns the limit as a whole number of calls, 0 while the backend server has announced no slots.
+func (l *limit) calls() int {
 	if l.slots == 0 {
 		return 0
 	}
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -7,24 +7,25 @@
 	"github.com/figpier/figpier"
 )
 
-// CallID names a call within one controller.
+// CallID identifies a call within one Controller.
 type CallID uint64
 
-// waiting is a call that waits for a slot.
-type waiting struct {
+// queuedCall is a call that waits for a slot. It is shed at expires, and must have ended by deadline.
+type queuedCall struct {
 	id       CallID
 	rank     figpier.Rank
-	until    time.Time
+	expires  time.Time
 	deadline time.Time
 }
 
-// queue holds the waiting calls, the next one to run last: by rank, and newest first within a rank.
+// queue holds the waiting calls in the reverse of the order in which they start: the last one has the lowest rank,
+// and is the newest of that rank.
 type queue struct {
-	calls []waiting
+	calls []queuedCall
 }
 
-func (q *queue) push(w waiting) {
-	at, _ := slices.BinarySearchFunc(q.calls, w, func(in, w waiting) int {
+func (q *queue) push(w queuedCall) {
+	at, _ := slices.BinarySearchFunc(q.calls, w, func(in, w queuedCall) int {
 		if in.rank > w.rank {
 			return -1
 		}
@@ -36,24 +37,24 @@
 	q.calls = slices.Insert(q.calls, at, w)
 }
 
-// popBest removes the most important call.
-func (q *queue) popBest() waiting {
+// popBest removes the call that starts next. The queue must not be empty.
+func (q *queue) popBest() queuedCall {
 	last := len(q.calls) - 1
 	w := q.calls[last]
 	q.calls = q.calls[:last]
 	return w
 }
 
-// popWorst removes the least important call.
-func (q *queue) popWorst() waiting {
+// popWorst removes the call that would start last. The queue must not be empty.
+func (q *queue) popWorst() queuedCall {
 	w := q.calls[0]
 	q.calls = slices.Delete(q.calls, 0, 1)
 	return w
 }
 
-// remove takes a call out and reports whether it was waiting.
+// remove removes a call and reports whether it was in the queue.
 func (q *queue) remove(id CallID) bool {
-	at := slices.IndexFunc(q.calls, func(w waiting) bool { return w.id == id })
+	at := slices.IndexFunc(q.calls, func(w queuedCall) bool { return w.id == id })
 	if at < 0 {
 		return false
 	}
@@ -61,17 +62,17 @@
 	return true
 }
 
-// takeIf removes and returns the calls that meet a condition.
-func (q *queue) takeIf(meets func(waiting) bool) []waiting {
-	var taken []waiting
-	q.calls = slices.DeleteFunc(q.calls, func(w waiting) bool {
-		if meets(w) {
-			taken = append(taken, w)
+// removeIf removes and returns the calls for which match returns true.
+func (q *queue) removeIf(match func(queuedCall) bool) []queuedCall {
+	var removed []queuedCall
+	q.calls = slices.DeleteFunc(q.calls, func(w queuedCall) bool {
+		if match(w) {
+			removed = append(removed, w)
 			return true
 		}
 		return false
 	})
-	return taken
+	return removed
 }
 
 func (q *queue) len() int { return len(q.calls) }
--- a/internal/policy/bucket/bucket.go
+++ b/internal/policy/bucket/bucket.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// reserveShare is the part of the burst, as a divisor, that is kept for requests that already wait.
-	reserveShare = 4
-	// recheckTime is when a holder asks again for tokens that are on lease elsewhere.
-	recheckTime = 10 * time.Millisecond
+	// The part of the burst kept for requests that already wait is 1/reserveDivisor.
+	reserveDivisor = 4
+	// leasedRetryTime is when a holder should ask again for tokens that are leased to other holders.
+	leasedRetryTime = 10 * time.Millisecond
 )
 
-// HolderID names one node's holder for the life of its process.
+// HolderID identifies a node's holder. It must differ between processes, also on the same node.
 type HolderID string
 
-// Config builds a Bucket.
+// Config configures a Bucket.
 type Config struct {
 	// Limit is the rate and burst.
 	Limit figpier.Limit
@@ -25,82 +25,84 @@
 	LeaseTime time.Duration
 	// ClockError bounds how far two clocks drift apart during a lease.
 	ClockError time.Duration
-	// WaitOut says that leases of a lost predecessor may still be out.
+	// WaitOut says that a lost predecessor of the bucket may have leases that have not expired.
 	WaitOut bool
 }
 
-// Bucket is a token bucket whose tokens are leased to holders.
+// Bucket is a token bucket whose tokens are leased to holders. It is not safe for concurrent use.
 type Bucket struct {
 	limit      figpier.Limit
 	leaseTime  time.Duration
 	clockError time.Duration
 
-	level   float64
-	out     int
-	last    time.Time
-	leases  []*lease
-	holders map[HolderID]*holder
+	free     float64   // tokens that may be leased
+	leased   int       // leased tokens that are not reported as spent
+	refilled time.Time // until when the rate has been added; in the future while a predecessor's leases last
+	leases   []*lease
+	holders  map[HolderID]*holder
 }
 
-// lease is a number of tokens that a holder may spend until the lease expires.
+// lease is a number of tokens that a holder may spend until the lease expires. It has ended when it expired or was closed.
 type lease struct {
 	holder   HolderID
 	sequence uint64
 	tokens   int
 	spent    int
 	expires  time.Time
-	freed    bool
+	ended    bool
 }
 
-// holder is what the bucket knows of one holder.
+// holder is what the bucket knows about one Holder.
 type holder struct {
-	sequence uint64
-	answer   Grant
-	leases   []*lease
-	target   int
-	asked    time.Time
+	sequence  uint64
+	lastGrant Grant
+	leases    []*lease
+	target    int
+	lastAsk   time.Time
 }
 
-// New returns a bucket that is full, or one that is empty and waits out the leases of its predecessor.
+// New returns a full bucket, or with Config.WaitOut an empty one that starts to refill when its predecessor's leases have
+// expired.
 func New(c Config, now time.Time) *Bucket {
 	b := &Bucket{
 		limit:      c.Limit,
 		leaseTime:  c.LeaseTime,
 		clockError: c.ClockError,
-		level:      c.Limit.Burst(),
-		last:       now,
+		free:       c.Limit.Burst(),
+		refilled:   now,
 		holders:    map[HolderID]*holder{},
 	}
 	if c.WaitOut {
-		b.level = 0
-		b.last = now.Add(c.LeaseTime + c.ClockError)
+		b.free = 0
+		b.refilled = now.Add(c.LeaseTime + c.ClockError)
 	}
 	return b
 }
 
-// SetLimit changes the rate and burst; a lower burst is kept in every window that starts after the leases of now have ended.
+// SetLimit changes the rate and burst. A lower burst holds in every window that starts after the current leases have ended.
 func (b *Bucket) SetLimit(l figpier.Limit, now time.Time) {
 	b.advance(now)
 	b.limit = l
-	b.clamp()
+	b.capFreeTokens()
 }
 
 // Limit returns the rate and burst.
 func (b *Bucket) Limit() figpier.Limit { return b.limit }
 
-// Out returns the number of tokens on lease that were not reported as spent.
-func (b *Bucket) Out() int { return b.out }
+// Out returns the number of leased tokens that are not reported as spent.
+func (b *Bucket) Out() int { return b.leased }
 
 // Level returns the number of tokens that are free to be leased.
-func (b *Bucket) Level() float64 { return b.level }
+func (b *Bucket) Level() float64 { return b.free }
 
-// Idle reports whether the bucket is full with nothing on lease, so that a new bucket would equal it.
+// Idle reports whether the bucket is full and has no leased tokens, so that it can be dropped and created again later.
 func (b *Bucket) Idle(now time.Time) bool {
 	b.advance(now)
-	return b.out == 0 && b.level >= b.limit.Burst() && !now.Before(b.last)
+	return b.leased == 0 && b.free >= b.limit.Burst() && !now.Before(b.refilled)
 }
 
-// Ask books a holder's reports and leases it tokens; repeated and overtaken requests change nothing.
+// Ask applies a holder's reports and leases tokens to it. A repeated request gets the same answer again, and one that
+// arrives after a later request gets no tokens; both change nothing.
 func (b *Bucket) Ask(a AskConfig, now time.Time) Grant {
 	b.advance(now)
 	h := b.holder(a.Holder)
@@ -108,14 +110,14 @@
 		return Grant{sequence: a.Sequence}
 	}
 	if a.Sequence == h.sequence {
-		return h.answer
+		return h.lastGrant
 	}
 	h.sequence = a.Sequence
 	h.target = a.Target
-	h.asked = now
-	b.book(h, a.Reports)
-	h.answer = b.grant(h, a, now)
-	return h.answer
+	h.lastAsk = now
+	b.applyReports(h, a.Reports)
+	h.lastGrant = b.grant(h, a, now)
+	return h.lastGrant
 }
 
 func (b *Bucket) holder(id HolderID) *holder {
@@ -127,177 +129,183 @@
 	return h
 }
 
-// book applies reports, which name every lease that the holder still has.
-func (b *Bucket) book(h *holder, reports []ReportConfig) {
-	named := map[uint64]ReportConfig{}
+// applyReports applies a holder's reports. A lease that is not reported is closed, because reports name every lease that
+// the holder still has.
+func (b *Bucket) applyReports(h *holder, reports []ReportConfig) {
+	reported := map[uint64]ReportConfig{}
 	for _, r := range reports {
-		named[r.Sequence] = r
+		reported[r.Sequence] = r
 	}
 	open := h.leases[:0]
 	for _, l := range h.leases {
-		r, ok := named[l.sequence]
-		b.spend(l, r.Spent)
+		r, ok := reported[l.sequence]
+		b.applySpent(l, r.Spent)
 		if !ok || r.Closed {
-			b.giveBack(l)
+			b.closeLease(l)
 		}
-		if !l.freed {
+		if !l.ended {
 			open = append(open, l)
 		}
 	}
 	h.leases = open
 }
 
-func (b *Bucket) spend(l *lease, spent int) {
+// applySpent records the total number of tokens spent from a lease; a lower number than before is ignored.
+func (b *Bucket) applySpent(l *lease, spent int) {
 	spent = min(spent, l.tokens)
-	if l.freed || spent <= l.spent {
+	if l.ended || spent <= l.spent {
 		return
 	}
-	b.out -= spent - l.spent
+	b.leased -= spent - l.spent
 	l.spent = spent
 }
 
-// giveBack frees a lease that its holder will never spend from again.
-func (b *Bucket) giveBack(l *lease) {
-	if l.freed {
+// closeLease returns the unspent tokens of a lease that its holder will not spend from again.
+func (b *Bucket) closeLease(l *lease) {
+	if l.ended {
 		return
 	}
-	rest := l.tokens - l.spent
-	b.out -= rest
-	b.level += float64(rest)
-	l.freed = true
-	b.clamp()
+	unspent := l.tokens - l.spent
+	b.leased -= unspent
+	b.free += float64(unspent)
+	l.ended = true
+	b.capFreeTokens()
 }
 
 func (b *Bucket) grant(h *holder, a AskConfig, now time.Time) Grant {
 	g := Grant{sequence: a.Sequence, leaseTime: b.leaseTime}
-	held := h.held()
+	held := h.heldTokens()
 	if a.Target <= held {
 		return g
 	}
-	g.tokens = max(b.ahead(a, held, now), b.urgent(a, held, now))
+	g.tokens = max(b.prefetchTokens(a, held, now), b.waitingTokens(a, held, now))
 	if g.tokens > 0 {
-		b.lend(h, a, g.tokens, now)
+		b.addLease(h, a, g.tokens, now)
 		return g
 	}
-	g.retryAfter = b.untilToken(now)
-	g.empty = b.level < 1
-	g.overRate = g.empty && held == 0 && b.room() >= 1 && g.retryAfter > a.Patience
+	g.retryAfter = b.retryDelay(now)
+	g.empty = b.free < 1
+	g.overRate = g.empty && held == 0 && b.refillable() >= 1 && g.retryAfter > a.Patience
 	return g
 }
 
-// ahead returns the tokens that a holder may have before it needs them: they leave a reserve for urgent requests.
-func (b *Bucket) ahead(a AskConfig, held int, now time.Time) int {
-	half := (int(b.level) + b.out) / 2
-	free := int(b.level - b.limit.Burst()/reserveShare)
-	return min(b.share(half, a.Target, now)-held, a.Target-held, free)
+// prefetchTokens returns the tokens that a holder may get ahead of demand, which leave a reserve for waiting requests.
+func (b *Bucket) prefetchTokens(a AskConfig, held int, now time.Time) int {
+	half := (int(b.free) + b.leased) / 2
+	free := int(b.free - b.limit.Burst()/reserveDivisor)
+	return min(b.fairShare(half, a.Target, now)-held, a.Target-held, free)
 }
 
-// urgent returns the tokens for requests that wait at the holder.
-func (b *Bucket) urgent(a AskConfig, held int, now time.Time) int {
-	fair := b.share(int(b.level)+b.out, a.Target, now) - held
+// waitingTokens returns the tokens that a holder may get for the requests that wait at it.
+func (b *Bucket) waitingTokens(a AskConfig, held int, now time.Time) int {
+	fair := b.fairShare(int(b.free)+b.leased, a.Target, now) - held
 	if held == 0 {
 		fair = max(fair, 1)
 	}
-	return min(a.Waiting, fair, int(b.level))
+	return min(a.Waiting, fair, int(b.free))
 }
 
-func (b *Bucket) lend(h *holder, a AskConfig, n int, now time.Time) {
+func (b *Bucket) addLease(h *holder, a AskConfig, n int, now time.Time) {
 	l := &lease{
 		holder:   a.Holder,
 		sequence: a.Sequence,
 		tokens:   n,
 		expires:  now.Add(b.leaseTime + b.clockError),
 	}
-	b.level -= float64(n)
-	b.out += n
+	b.free -= float64(n)
+	b.leased += n
 	h.leases = append(h.leases, l)
 	b.leases = append(b.leases, l)
 }
 
-func (h *holder) held() int {
+// heldTokens returns the number of leased tokens that the holder has not reported as spent.
+func (h *holder) heldTokens() int {
 	n := 0
 	for _, l := range h.leases {
-		if !l.freed {
+		if !l.ended {
 			n += l.tokens - l.spent
 		}
 	}
 	return n
 }
 
-// share returns the max-min fair part of a pool of tokens for a holder that wants target tokens.
-func (b *Bucket) share(pool, target int, now time.Time) int {
+// fairShare returns the max-min fair share of a pool of tokens for a holder that wants target tokens. It also drops
+// holders without leases that have not asked for a lease time.
+func (b *Bucket) fairShare(pool, target int, now time.Time) int {
 	targets := make([]int, 0, len(b.holders))
 	for id, h := range b.holders {
-		if now.Sub(h.asked) <= b.leaseTime {
+		if now.Sub(h.lastAsk) <= b.leaseTime {
 			targets = append(targets, h.target)
 		} else if len(h.leases) == 0 {
 			delete(b.holders, id)
 		}
 	}
-	return maxMin(pool, targets, target)
+	return maxMinShare(pool, targets, target)
 }
 
-// untilToken returns when a holder should ask again: when the next token is due, or shortly when all are on lease.
-func (b *Bucket) untilToken(now time.Time) time.Duration {
-	if b.room() < 1 && b.level < 1 || b.level >= 1 || b.limit.Rate() <= 0 {
-		return recheckTime
+// retryDelay returns when a holder should ask again: when the next token is due, or shortly if tokens
+// are leased to others or reserved.
+func (b *Bucket) retryDelay(now time.Time) time.Duration {
+	if b.refillable() < 1 && b.free < 1 || b.free >= 1 || b.limit.Rate() <= 0 {
+		return leasedRetryTime
 	}
-	wait := time.Duration((1 - b.level) / b.limit.Rate() * float64(time.Second))
-	wait += max(0, b.last.Sub(now))
+	wait := time.Duration((1 - b.free) / b.limit.Rate() * float64(time.Second))
+	wait += max(0, b.refilled.Sub(now))
 	return min(wait, b.leaseTime)
 }
 
-func (b *Bucket) room() float64 {
-	return b.limit.Burst() - b.level - float64(b.out)
+// refillable returns how many tokens the bucket can gain before it is full, negative after the burst was lowered.
+func (b *Bucket) refillable() float64 {
+	return b.limit.Burst() - b.free - float64(b.leased)
 }
 
-// clamp takes free tokens away that a lower burst does not allow.
-func (b *Bucket) clamp() {
-	if r := b.room(); r < 0 {
-		b.level = max(0, b.level+r)
+// capFreeTokens removes free tokens that exceed a lowered burst.
+func (b *Bucket) capFreeTokens() {
+	if r := b.refillable(); r < 0 {
+		b.free = max(0, b.free+r)
 	}
 }
 
-// advance refills and frees expired leases in the order of time.
+// advance refills the bucket and ends expired leases, in the order of time.
 func (b *Bucket) advance(now time.Time) {
 	for len(b.leases) > 0 {
 		l := b.leases[0]
-		if !l.freed && l.expires.After(now) {
+		if !l.ended && l.expires.After(now) {
 			break
 		}
 		b.leases = b.leases[1:]
-		if l.freed {
+		if l.ended {
 			continue
 		}
 		b.refill(l.expires)
-		b.out -= l.tokens - l.spent
-		l.freed = true
-		b.forget(l)
+		b.leased -= l.tokens - l.spent
+		l.ended = true
+		b.removeFromHolder(l)
 	}
 	b.refill(now)
 }
 
-// forget drops an expired lease from its holder.
-func (b *Bucket) forget(l *lease) {
+// removeFromHolder removes an expired lease from its holder.
+func (b *Bucket) removeFromHolder(l *lease) {
 	h, ok := b.holders[l.holder]
 	if !ok {
 		return
 	}
 	open := h.leases[:0]
-	for _, o := range h.leases {
-		if o != l {
-			open = append(open, o)
+	for _, other := range h.leases {
+		if other != l {
+			open = append(open, other)
 		}
 	}
 	h.leases = open
 }
 
-// refill adds what the rate gives, but never beyond the burst less the tokens on lease.
+// refill adds the tokens gained since the last refill, up to the burst less the leased tokens.
 func (b *Bucket) refill(now time.Time) {
-	if !now.After(b.last) {
+	if !now.After(b.refilled) {
 		return
 	}
-	gained := b.limit.Rate() * now.Sub(b.last).Seconds()
-	b.last = now
-	b.level += math.Max(0, math.Min(gained, b.room()))
+	gained := b.limit.Rate() * now.Sub(b.refilled).Seconds()
+	b.refilled = now
+	b.free += math.Max(0, math.Min(gained, b.refillable()))
 }
--- a/internal/policy/bucket/bucket_test.go
+++ b/internal/policy/bucket/bucket_test.go
@@ -21,13 +21,13 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// exact is a single-instance bucket, the twin of the leased one.
-type exact struct {
+// exactBucket is an ordinary token bucket in one place, the reference for the leased one.
+type exactBucket struct {
 	rate, burst, level float64
 	last               time.Time
 }
 
-func (e *exact) take(now time.Time) bool {
+func (e *exactBucket) spend(now time.Time) bool {
 	e.level = min(e.burst, e.level+e.rate*now.Sub(e.last).Seconds())
 	e.last = now
 	if e.level < 1-1e-6 {
@@ -37,7 +37,7 @@
 	return true
 }
 
-// node is one holder with a clock that drifts.
+// node is a holder whose clock drifts by a share of the time that has passed.
 type node struct {
 	holder  *Holder
 	drift   float64
@@ -53,29 +53,30 @@
 	do func()
 }
 
-// world runs nodes against one bucket over messages that may be lost, late or repeated.
-type world struct {
-	now      time.Time
-	bucket   *Bucket
-	nodes    []*node
-	queue    []delivery
-	delay    func() time.Duration
-	lost     func() bool
-	repeated func() bool
-	twin     *exact
-	tooMany  int
-	spent    int
-	refused  int
+// cluster connects nodes to one bucket by messages that may be lost, delayed or repeated. It counts the tokens that were
+// spent in excess of the reference bucket.
+type cluster struct {
+	now       time.Time
+	bucket    *Bucket
+	nodes     []*node
+	queue     []delivery
+	delay     func() time.Duration
+	lost      func() bool
+	repeated  func() bool
+	reference *exactBucket
+	excess    int
+	spent     int
+	refused   int
 }
 
-func newWorld(l figpier.Limit, nodes int, patience time.Duration) *world {
-	w := &world{
-		now:      epoch,
-		bucket:   New(Config{Limit: l, LeaseTime: testLeaseTime, ClockError: testClockError}, epoch),
-		delay:    func() time.Duration { return testStep },
-		lost:     func() bool { return false },
-		repeated: func() bool { return false },
-		twin:     &exact{rate: l.Rate(), burst: l.Burst(), level: l.Burst(), last: epoch},
+func newCluster(l figpier.Limit, nodes int, patience time.Duration) *cluster {
+	w := &cluster{
+		now:       epoch,
+		bucket:    New(Config{Limit: l, LeaseTime: testLeaseTime, ClockError: testClockError}, epoch),
+		delay:     func() time.Duration { return testStep },
+		lost:      func() bool { return false },
+		repeated:  func() bool { return false },
+		reference: &exactBucket{rate: l.Rate(), burst: l.Burst(), level: l.Burst(), last: epoch},
 	}
 	for i := range nodes {
 		c := HolderConfig{ID: HolderID(fmt.Sprint(i)), Patience: patience, AskTimeout: 100 * time.Millisecond}
@@ -84,90 +85,90 @@
 	return w
 }
 
-func (w *world) send(do func()) {
+func (c *cluster) send(do func()) {
 	times := 1
-	if w.repeated() {
+	if c.repeated() {
 		times = 2
 	}
 	for range times {
-		if !w.lost() {
-			w.queue = append(w.queue, delivery{at: w.now.Add(w.delay()), do: do})
+		if !c.lost() {
+			c.queue = append(c.queue, delivery{at: c.now.Add(c.delay()), do: do})
 		}
 	}
 }
 
-func (w *world) arrive(n *node) {
-	n.waiting = append(n.waiting, w.now)
+func (c *cluster) arrive(n *node) {
+	n.waiting = append(n.waiting, c.now)
 	n.holder.SetWaiting(len(n.waiting))
-	w.settle(n, n.holder.Arrive(n.clock(w.now)))
+	c.serveWaiting(n, n.holder.Arrive(n.clock(c.now)))
 }
 
-// settle serves the oldest waiting requests.
-func (w *world) settle(n *node, v Verdict) {
+// serveWaiting serves waiting requests, the oldest first.
+func (c *cluster) serveWaiting(n *node, v Verdict) {
 	for len(n.waiting) > 0 && v != VerdictWait {
 		n.waiting = n.waiting[1:]
 		n.holder.SetWaiting(len(n.waiting))
 		if v == VerdictSpent {
-			w.spent++
-			if !w.twin.take(w.now) {
-				w.tooMany++
+			c.spent++
+			if !c.reference.spend(c.now) {
+				c.excess++
 			}
 		} else {
-			w.refused++
+			c.refused++
 		}
 		if len(n.waiting) > 0 {
-			v = n.holder.Take(n.clock(w.now))
+			v = n.holder.Take(n.clock(c.now))
 		}
 	}
 }
 
-func (w *world) step() {
-	w.now = w.now.Add(testStep)
-	due := w.queue
-	w.queue = nil
+func (c *cluster) step() {
+	c.now = c.now.Add(testStep)
+	due := c.queue
+	c.queue = nil
 	for _, d := range due {
-		if d.at.After(w.now) {
-			w.queue = append(w.queue, d)
+		if d.at.After(c.now) {
+			c.queue = append(c.queue, d)
 			continue
 		}
 		d.do()
 	}
-	for _, n := range w.nodes {
-		w.turn(n)
+	for _, n := range c.nodes {
+		c.stepNode(n)
 	}
 }
 
-func (w *world) turn(n *node) {
+func (c *cluster) stepNode(n *node) {
 	if len(n.waiting) > 0 {
-		w.settle(n, n.holder.Take(n.clock(w.now)))
+		c.serveWaiting(n, n.holder.Take(n.clock(c.now)))
 	}
-	for len(n.waiting) > 0 && w.now.Sub(n.waiting[0]) > n.holder.config.Patience {
+	for len(n.waiting) > 0 && c.now.Sub(n.waiting[0]) > n.holder.config.Patience {
 		n.waiting = n.waiting[1:]
 		n.holder.SetWaiting(len(n.waiting))
-		w.refused++
+		c.refused++
 	}
-	a, due, _ := n.holder.Next(n.clock(w.now))
+	a, due, _ := n.holder.Next(n.clock(c.now))
 	if !due {
 		return
 	}
-	w.send(func() {
-		g := w.bucket.Ask(a, w.now)
-		w.send(func() { n.holder.Answered(g, n.clock(w.now)) })
+	c.send(func() {
+		g := c.bucket.Ask(a, c.now)
+		c.send(func() { n.holder.Answered(g, n.clock(c.now)) })
 	})
 }
 
-func limit(rate, burst float64) figpier.Limit {
+func newLimit(rate, burst float64) figpier.Limit {
 	return figpier.NewLimit(figpier.LimitConfig{Rate: rate, Burst: burst})
 }
 
-func TestNeverAboveBurstAndRate(t *testing.T) {
+func TestSpentTokensStayWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := limit(rapid.Float64Range(1, 200).Draw(t, "rate"), float64(rapid.IntRange(1, 60).Draw(t, "burst")))
-		w := newWorld(l, rapid.IntRange(1, 6).Draw(t, "nodes"), 20*time.Millisecond)
+		l := newLimit(rapid.Float64Range(1, 200).Draw(t, "rate"), float64(rapid.IntRange(1, 60).Draw(t, "burst")))
+		w := newCluster(l, rapid.IntRange(1, 6).Draw(t, "nodes"), 20*time.Millisecond)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		lossOf := rapid.Float64Range(0, 0.5).Draw(t, "loss")
+		lossRate := rapid.Float64Range(0, 0.5).Draw(t, "loss")
 		longest := rapid.IntRange(1, 1500).Draw(t, "longest delay in ms")
-		w.lost = func() bool { return r.Float64() < lossOf }
+		w.lost = func() bool { return r.Float64() < lossRate }
 		w.repeated = func() bool { return r.Float64() < 0.2 }
 		w.delay = func() time.Duration { return time.Duration(1+r.IntN(longest)) * time.Millisecond }
 		for _, n := range w.nodes {
@@ -183,16 +184,16 @@
 			}
 			w.step()
 		}
-		assert.Equal(t, w.tooMany, 0, "of %d tokens", w.spent)
+		assert.Equal(t, w.excess, 0, "of %d tokens", w.spent)
 		assert.Assert(t, float64(w.bucket.Out())+w.bucket.Level() <= l.Burst()+1e-6)
 	})
 }
 
-func TestLowerLimitHoldsOnceLeasesEnded(t *testing.T) {
+func TestLoweredLimitHoldsAfterOldLeasesExpire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := limit(100, 60)
-		after := limit(rapid.Float64Range(1, 90).Draw(t, "rate"), float64(rapid.IntRange(1, 50).Draw(t, "burst")))
-		w := newWorld(before, 4, 20*time.Millisecond)
+		before := newLimit(100, 60)
+		after := newLimit(rapid.Float64Range(1, 90).Draw(t, "rate"), float64(rapid.IntRange(1, 50).Draw(t, "burst")))
+		w := newCluster(before, 4, 20*time.Millisecond)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		w.lost = func() bool { return r.Float64() < 0.2 }
 		change := rapid.IntRange(10, 1000).Draw(t, "change")
@@ -201,17 +202,17 @@
 				w.bucket.SetLimit(after, w.now)
 			}
 			if i == change+int((testLeaseTime+testClockError)/testStep) {
-				w.twin = &exact{rate: after.Rate(), burst: after.Burst(), level: after.Burst(), last: w.now}
+				w.reference = &exactBucket{rate: after.Rate(), burst: after.Burst(), level: after.Burst(), last: w.now}
 			}
 			w.arrive(w.nodes[r.IntN(len(w.nodes))])
 			w.step()
 		}
-		assert.Equal(t, w.tooMany, 0)
+		assert.Equal(t, w.excess, 0)
 	})
 }
 
-func TestPredecessorsLeasesAreWaitedOut(t *testing.T) {
-	c := Config{Limit: limit(10, 5), LeaseTime: testLeaseTime, ClockError: testClockError, WaitOut: true}
+func TestNewBucketWaitsForLeasesOfItsPredecessor(t *testing.T) {
+	c := Config{Limit: newLimit(10, 5), LeaseTime: testLeaseTime, ClockError: testClockError, WaitOut: true}
 	b := New(c, epoch)
 	a := AskConfig{Holder: "n", Sequence: 1, Target: 3, Waiting: 3}
 	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testClockError)).Tokens(), 0)
@@ -219,8 +220,8 @@
 	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testClockError+200*time.Millisecond)).Tokens(), 2)
 }
 
-func TestLeaseCountsUntilSlowestClockHasEndedIt(t *testing.T) {
-	b := New(Config{Limit: limit(1, 1), LeaseTime: testLeaseTime, ClockError: testClockError}, epoch)
+func TestLeaseExpiresAfterLeaseTimeAndClockError(t *testing.T) {
+	b := New(Config{Limit: newLimit(1, 1), LeaseTime: testLeaseTime, ClockError: testClockError}, epoch)
 	assert.Equal(t, b.Ask(AskConfig{Holder: "n", Sequence: 1, Target: 1, Waiting: 1}, epoch).Tokens(), 1)
 	end := epoch.Add(testLeaseTime + testClockError)
 	b.advance(end.Add(-1))
@@ -230,7 +231,7 @@
 	assert.Equal(t, b.Level(), 0.0)
 }
 
-func TestHolderCountsExpiryFromWhenItAsked(t *testing.T) {
+func TestHolderLeaseExpiresFromTimeOfAsk(t *testing.T) {
 	h := NewHolder(HolderConfig{ID: "n", AskTimeout: testLeaseTime}, epoch)
 	h.SetWaiting(1)
 	assert.Equal(t, h.Arrive(epoch), VerdictWait)
@@ -242,7 +243,7 @@
 	assert.Equal(t, h.Take(epoch.Add(testLeaseTime)), VerdictWait)
 }
 
-func TestFewWrongfulRefusalsInsideTheRate(t *testing.T) {
+func TestFewWrongRefusalsWithinRate(t *testing.T) {
 	tests := []struct {
 		name        string
 		nodes       int
@@ -257,32 +258,32 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(limit(tt.rate, tt.burst), tt.nodes, 50*time.Millisecond)
+			w := newCluster(newLimit(tt.rate, tt.burst), tt.nodes, 50*time.Millisecond)
 			r := rand.New(rand.NewPCG(7, 7))
-			twin := &exact{rate: tt.rate, burst: tt.burst, level: tt.burst, last: epoch}
-			arrivals, twinRefused := 0, 0
+			reference := &exactBucket{rate: tt.rate, burst: tt.burst, level: tt.burst, last: epoch}
+			arrivals, referenceRefused := 0, 0
 			for range 30_000 {
 				for p := tt.load * tt.rate * testStep.Seconds(); p > 0; p-- {
 					if r.Float64() >= p {
 						continue
 					}
 					arrivals++
-					if !twin.take(w.now) {
-						twinRefused++
+					if !reference.spend(w.now) {
+						referenceRefused++
 						continue
 					}
 					w.arrive(w.nodes[r.IntN(len(w.nodes))])
 				}
 				w.step()
 			}
-			t.Logf("%d arrivals, refused by the exact bucket %d, wrongly refused %d", arrivals, twinRefused, w.refused)
+			t.Logf("%d arrivals, refused by the exact bucket %d, wrongly refused %d", arrivals, referenceRefused, w.refused)
 			assert.Assert(t, float64(w.refused) <= 0.001*float64(arrivals), "%d of %d", w.refused, arrivals)
-			assert.Equal(t, w.tooMany, 0)
+			assert.Equal(t, w.excess, 0)
 		})
 	}
 }
 
-func TestScarcityIsSplitMaxMin(t *testing.T) {
+func TestMaxMinShare(t *testing.T) {
 	tests := []struct {
 		pool    int
 		targets []int
@@ -297,6 +298,6 @@
 		{0, []int{4}, 4, 0},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, maxMin(tt.pool, tt.targets, tt.target), tt.want, "%v", tt)
+		assert.Equal(t, maxMinShare(tt.pool, tt.targets, tt.target), tt.want, "%v", tt)
 	}
 }
--- a/internal/policy/bucket/doc.go
+++ b/internal/policy/bucket/doc.go
@@ -1,6 +1,6 @@
-// Package bucket decides how one customer's token bucket is leased to many nodes without ever passing its rate and burst.
+// Package bucket leases the tokens of one customer's token bucket to many nodes without ever exceeding its rate and burst.
 //
-// A Bucket lives at the primary of a shard and leases tokens; a Holder lives at a node and spends them.
-// Tokens on lease count against the burst until they are reported as spent or their lease has expired,
+// A Bucket runs at the primary of a shard and leases tokens; a Holder runs at a node and spends them.
+// Leased tokens count against the burst until they are reported as spent or their lease expires,
 // so the tokens spent in any window of length t never exceed burst + rate*t.
 package bucket
--- a/internal/policy/bucket/holder.go
+++ b/internal/policy/bucket/holder.go
@@ -6,59 +6,60 @@
 )
 
 const (
-	// demandWindow is the time constant of the estimate of recent demand.
-	demandWindow = 500 * time.Millisecond
-	// batchTime is the length of demand that one batch of tokens covers.
-	batchTime = 100 * time.Millisecond
-	// minRenewalTime is the least time between renewals ahead of need.
-	minRenewalTime = 5 * time.Millisecond
-	// flushTime is the longest that spent tokens stay unreported.
-	flushTime = 200 * time.Millisecond
+	// demandTimeConstant is the time constant of the exponential decay of demand.
+	demandTimeConstant = 500 * time.Millisecond
+	// batchDuration is how much demand one batch of tokens covers.
+	batchDuration = 100 * time.Millisecond
+	// minRenewalInterval is the least time between requests for tokens ahead of need.
+	minRenewalInterval = 5 * time.Millisecond
+	// flushInterval is the longest time that spent tokens stay unreported.
+	flushInterval = 200 * time.Millisecond
 )
 
 // Verdict says whether a request may run.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts on a request.
 const (
-	// VerdictWait means that a token has to come first.
+	// VerdictWait means that the request waits until the holder gets a token.
 	VerdictWait Verdict = iota
-	// VerdictSpent means that a token was spent.
+	// VerdictSpent means that a token was spent and the request may run.
 	VerdictSpent
-	// VerdictOverRate means that the bucket found the customer over its rate and burst.
+	// VerdictOverRate means that the bucket reported the customer as over its rate and burst.
 	VerdictOverRate
 )
 
-// HolderConfig builds a Holder.
+// HolderConfig configures a Holder.
 type HolderConfig struct {
-	// ID names the holder.
+	// ID identifies the holder to the bucket.
 	ID HolderID
 	// Patience is how long a request may wait for a token.
 	Patience time.Duration
-	// AskTimeout is when an unanswered request for tokens is given up.
+	// AskTimeout is how long a request for tokens may stay unanswered before the next one is sent.
 	AskTimeout time.Duration
 }
 
-// Holder spends leased tokens at one node.
+// Holder spends leased tokens at one node. It is not safe for concurrent use, and sends nothing itself: its owner calls
+// Next for requests that are due, and Answered or Failed with their result.
 type Holder struct {
-	config   HolderConfig
-	leases   []*heldLease
-	sequence uint64
-	sent     time.Time
-	inFlight bool
-	nextAsk  time.Time
-	renewal  time.Time
-	overTill time.Time
-	answered time.Time
-	empty    bool
-
-	demand  float64
-	counted time.Time
-	waiting int
-	dirty   bool
-}
-
-// heldLease is a lease as its holder sees it.
+	config        HolderConfig
+	leases        []*heldLease
+	sequence      uint64
+	lastSent      time.Time
+	inFlight      bool
+	nextAsk       time.Time
+	nextRenewal   time.Time
+	overRateUntil time.Time
+	lastAnswer    time.Time
+	bucketEmpty   bool
+
+	demand        float64 // requests, decayed with demandTimeConstant
+	demandUpdated time.Time
+	waiting       int
+	unreported    bool
+}
+
+// heldLease is the holder's view of a lease. Nothing is spent from it while closing, which the next request reports.
 type heldLease struct {
 	sequence uint64
 	tokens   int
@@ -69,81 +70,83 @@
 
 // NewHolder returns a holder without tokens.
 func NewHolder(c HolderConfig, now time.Time) *Holder {
-	return &Holder{config: c, counted: now}
+	return &Holder{config: c, demandUpdated: now}
 }
 
-// Arrive counts one request towards the demand and then takes a token for it.
+// Arrive adds a request to the demand and then tries to spend a token for it.
 func (h *Holder) Arrive(now time.Time) Verdict {
-	h.decay(now)
+	h.decayDemand(now)
 	h.demand++
 	return h.Take(now)
 }
 
-// Take spends a token unless none is left or every lease has expired.
+// Take spends a token, unless none is left or every lease has expired.
 func (h *Holder) Take(now time.Time) Verdict {
 	for _, l := range h.leases {
 		if l.usable(now) {
 			l.spent++
-			h.dirty = true
+			h.unreported = true
 			return VerdictSpent
 		}
 	}
-	if now.Before(h.overTill) {
+	if now.Before(h.overRateUntil) {
 		return VerdictOverRate
 	}
 	return VerdictWait
 }
 
-// SetWaiting tells the number of requests that wait for a token.
+// SetWaiting sets the number of requests that wait for a token.
 func (h *Holder) SetWaiting(n int) { h.waiting = n }
 
-// EmptySince reports whether the bucket's last answer came at or after the given time and said that it had no token.
-func (h *Holder) EmptySince(t time.Time) bool { return h.empty && !h.answered.Before(t) }
+// EmptySince reports whether the bucket's last answer came at or after t and said that the bucket had no token.
+func (h *Holder) EmptySince(t time.Time) bool { return h.bucketEmpty && !h.lastAnswer.Before(t) }
 
-// Next returns the request that is due now, or false and when to look again, which is zero when only an arrival matters.
-func (h *Holder) Next(now time.Time) (a AskConfig, due bool, later time.Time) {
+// Next returns the request for tokens that is due now. When none is due, it returns when to call it again, the zero time
+// if only another call to the holder can make one due.
+func (h *Holder) Next(now time.Time) (a AskConfig, due bool, nextCheck time.Time) {
 	if h.inFlight {
-		timeout := h.sent.Add(h.config.AskTimeout)
+		timeout := h.lastSent.Add(h.config.AskTimeout)
 		if now.Before(timeout) {
 			return AskConfig{}, false, timeout
 		}
 	}
-	if at := h.wanted(now); at.IsZero() || at.After(now) {
+	if at := h.nextAskTime(now); at.IsZero() || at.After(now) {
 		return AskConfig{}, false, at
 	}
-	return h.ask(now), true, time.Time{}
+	return h.buildAsk(now), true, time.Time{}
 }
 
-// wanted returns when the next request is wanted, or zero.
-func (h *Holder) wanted(now time.Time) time.Time {
+// nextAskTime returns when the next request for tokens should be sent, the zero time if none is needed.
+func (h *Holder) nextAskTime(now time.Time) time.Time {
 	if h.waiting > 0 {
-		return later(now, h.nextAsk)
+		return latest(now, h.nextAsk)
 	}
-	if h.low(now) {
-		return later(now, h.renewal)
+	if h.needsRenewal(now) {
+		return latest(now, h.nextRenewal)
 	}
-	if h.dirty || h.usable(now) > 0 {
-		return h.sent.Add(flushTime)
+	if h.unreported || h.usableTokens(now) > 0 {
+		return h.lastSent.Add(flushInterval)
 	}
 	return time.Time{}
 }
 
-// low reports whether demand will use up the tokens before a renewal started now may bring more.
-func (h *Holder) low(now time.Time) bool {
-	h.decay(now)
-	return h.demand >= 1 && 2*h.usable(now) < h.target()
+// needsRenewal reports whether demand may use up the tokens before a request that is sent now brings more.
+func (h *Holder) needsRenewal(now time.Time) bool {
+	h.decayDemand(now)
+	return h.demand >= 1 && 2*h.usableTokens(now) < h.targetTokens()
 }
 
-func (h *Holder) ask(now time.Time) AskConfig {
+// buildAsk returns the next request for tokens, which reports every lease, and records it as sent.
+func (h *Holder) buildAsk(now time.Time) AskConfig {
 	h.sequence++
-	h.sent = now
+	h.lastSent = now
 	h.inFlight = true
-	h.dirty = false
-	h.decay(now)
+	h.unreported = false
+	h.decayDemand(now)
 	a := AskConfig{
 		Holder:   h.config.ID,
 		Sequence: h.sequence,
-		Target:   h.target(),
+		Target:   h.targetTokens(),
 		Waiting:  h.waiting,
 		Patience: h.config.Patience,
 	}
@@ -154,51 +157,51 @@
 	return a
 }
 
-// Answered takes the bucket's answer, unless a later request was sent meanwhile.
+// Answered applies the bucket's answer, unless a later request was sent in the meantime.
 func (h *Holder) Answered(g Grant, now time.Time) {
 	if g.Sequence() != h.sequence || !h.inFlight {
 		return
 	}
 	h.inFlight = false
-	h.drop()
-	h.answered = now
-	h.empty = g.Empty()
-	h.renewal = now.Add(max(g.RetryAfter(), minRenewalTime))
+	h.removeClosing()
+	h.lastAnswer = now
+	h.bucketEmpty = g.Empty()
+	h.nextRenewal = now.Add(max(g.RetryAfter(), minRenewalInterval))
 	h.nextAsk = now
 	if g.Tokens() == 0 {
-		h.nextAsk = h.renewal
+		h.nextAsk = h.nextRenewal
 	}
 	if g.OverRate() {
-		h.overTill = h.nextAsk
+		h.overRateUntil = h.nextAsk
 	}
 	if g.Tokens() > 0 {
 		h.leases = append(h.leases, &heldLease{
 			sequence: g.Sequence(),
 			tokens:   g.Tokens(),
-			expires:  h.sent.Add(g.LeaseTime()),
+			expires:  h.lastSent.Add(g.LeaseTime()),
 		})
 	}
 }
 
-// Failed gives up the last request after an error and spaces the next.
+// Failed records that a request failed, and delays the next one until retryAt. It is ignored after a later request.
 func (h *Holder) Failed(sequence uint64, retryAt time.Time) {
 	if sequence != h.sequence {
 		return
 	}
 	h.inFlight = false
-	h.dirty = true
+	h.unreported = true
 	h.nextAsk = retryAt
-	h.renewal = retryAt
+	h.nextRenewal = retryAt
 }
 
 // Idle reports whether the holder has nothing to report and no recent demand.
 func (h *Holder) Idle(now time.Time) bool {
-	h.decay(now)
-	return !h.inFlight && !h.dirty && h.waiting == 0 && len(h.leases) == 0 && h.demand < 1.0/64
+	h.decayDemand(now)
+	return !h.inFlight && !h.unreported && h.waiting == 0 && len(h.leases) == 0 && h.demand < 1.0/64
 }
 
-// drop forgets the leases whose closing the bucket has booked.
-func (h *Holder) drop() {
+// removeClosing removes the leases that the bucket has closed in its answer.
+func (h *Holder) removeClosing() {
 	open := h.leases[:0]
 	for _, l := range h.leases {
 		if !l.closing {
@@ -208,16 +211,17 @@
 	h.leases = open
 }
 
-// target returns the number of tokens that recent demand and the waiting requests call for.
-func (h *Holder) target() int {
+// targetTokens returns the number of tokens that recent demand and the waiting requests need.
+func (h *Holder) targetTokens() int {
 	if h.demand < 1.0/2 {
 		return h.waiting
 	}
-	perBatch := h.demand * batchTime.Seconds() / demandWindow.Seconds()
+	perBatch := h.demand * batchDuration.Seconds() / demandTimeConstant.Seconds()
 	return int(math.Ceil(perBatch)) + 1 + h.waiting
 }
 
-func (h *Holder) usable(now time.Time) int {
+// usableTokens returns the number of tokens that can be spent now.
+func (h *Holder) usableTokens(now time.Time) int {
 	n := 0
 	for _, l := range h.leases {
 		if l.usable(now) {
@@ -227,10 +231,11 @@
 	return n
 }
 
-func (h *Holder) decay(now time.Time) {
-	if passed := now.Sub(h.counted); passed > 0 {
-		h.demand *= math.Exp(-passed.Seconds() / demandWindow.Seconds())
-		h.counted = now
+// decayDemand reduces the demand by the time since its last update.
+func (h *Holder) decayDemand(now time.Time) {
+	if passed := now.Sub(h.demandUpdated); passed > 0 {
+		h.demand *= math.Exp(-passed.Seconds() / demandTimeConstant.Seconds())
+		h.demandUpdated = now
 	}
 }
 
@@ -238,7 +243,7 @@
 	return !l.closing && l.spent < l.tokens && now.Before(l.expires)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/policy/bucket/message.go
+++ b/internal/policy/bucket/message.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReportConfig tells how much of one lease its holder has spent.
+// ReportConfig reports how much of one lease its holder has spent.
 type ReportConfig struct {
 	// Sequence is the number of the request that the lease answered.
 	Sequence uint64
@@ -17,11 +17,11 @@
 
 // AskConfig is a holder's request for tokens.
 type AskConfig struct {
-	// Holder names the holder.
+	// Holder identifies the holder.
 	Holder HolderID
 	// Sequence numbers the holder's requests from 1; the holder ignores answers to all but the last.
 	Sequence uint64
-	// Reports name every lease that the holder still has.
+	// Reports has an entry for every lease that the holder still has; the bucket closes any other.
 	Reports []ReportConfig
 	// Target is the number of tokens that the holder wants to hold.
 	Target int
@@ -31,19 +31,19 @@
 	Patience time.Duration
 }
 
-// GrantConfig builds a Grant.
+// GrantConfig configures a Grant.
 type GrantConfig struct {
 	// Sequence is the number of the request.
 	Sequence uint64
 	// Tokens is the number of tokens on the new lease.
 	Tokens int
-	// LeaseTime is how long they may be spent, counted from when the request was sent.
+	// LeaseTime is how long the tokens may be spent, counted from when the request was sent.
 	LeaseTime time.Duration
-	// Empty says that the bucket had no token.
+	// Empty says that the bucket had no free token.
 	Empty bool
 	// OverRate says that the customer is over its rate and burst.
 	OverRate bool
-	// RetryAfter is when the bucket may have a token.
+	// RetryAfter is how long after the answer the bucket may have a token.
 	RetryAfter time.Duration
 }
 
@@ -57,7 +57,7 @@
 	retryAfter time.Duration
 }
 
-// NewGrant returns an answer, for instance one that came in a message.
+// NewGrant returns a grant.
 func NewGrant(c GrantConfig) Grant {
 	return Grant{
 		sequence:   c.Sequence,
@@ -78,17 +78,17 @@
 // LeaseTime returns how long the tokens may be spent, counted from when the request was sent.
 func (g Grant) LeaseTime() time.Duration { return g.leaseTime }
 
-// Empty reports whether the bucket had no token.
+// Empty reports whether the bucket had no free token.
 func (g Grant) Empty() bool { return g.empty }
 
 // OverRate reports whether the bucket found the customer over its rate and burst.
 func (g Grant) OverRate() bool { return g.overRate }
 
-// RetryAfter returns when the bucket may have a token.
+// RetryAfter returns how long after the answer the bucket may have a token.
 func (g Grant) RetryAfter() time.Duration { return g.retryAfter }
 
-// maxMin returns the max-min fair part of a pool for one of the targets.
-func maxMin(pool int, targets []int, target int) int {
+// maxMinShare returns the max-min fair share of a pool for target, which must be one of targets. It sorts targets.
+func maxMinShare(pool int, targets []int, target int) int {
 	slices.Sort(targets)
 	for i, t := range targets {
 		fair := pool / (len(targets) - i)
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -51,7 +51,7 @@
 func New(c Config) *Admission {
 	return &Admission{
 		config:  c,
-		policy:  policy.New(policy.Config{Stated: c.Stated}),
+		policy:  policy.New(policy.Config{FixedLimit: c.Stated}),
 		waiters: map[policy.CallID]chan policy.Verdict{},
 		shed:    spell.New[cause](spell.Config{Gap: spellGap, Most: mostSpell}),
 	}
@@ -104,7 +104,7 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.apply(a.policy.Resize(now, slots))
+	a.apply(a.policy.SetSlots(now, slots))
 }
 
 // Admit implements figpier.Admission.
@@ -143,7 +143,7 @@
 	defer a.mu.Unlock()
 	a.last++
 	w := waiter{id: a.last, longest: a.policy.QueueTime()}
-	verdict, effects := a.policy.Offer(now, w.id, c.Rank(), c.Deadline())
+	verdict, effects := a.policy.Submit(now, w.id, c.Rank(), c.Deadline())
 	a.apply(effects)
 	if verdict == policy.Wait {
 		w.decided = make(chan policy.Verdict, 1)
@@ -153,7 +153,7 @@
 }
 
 // apply tells waiting calls what was decided; the mutex is held.
-func (a *Admission) apply(effects []policy.Effect) {
+func (a *Admission) apply(effects []policy.Decision) {
 	for _, e := range effects {
 		a.waiters[e.ID()] <- e.Verdict()
 		delete(a.waiters, e.ID())
@@ -181,9 +181,9 @@
 
 func (a *Admission) refuse(c *figpier.Call, v policy.Verdict) *figpier.Refusal {
 	switch v {
-	case policy.Late:
+	case policy.DeadlineMissed:
 		return figpier.Refuse(figpier.RefusalDeadline)
-	case policy.Absent:
+	case policy.NoBackend:
 		return figpier.Refuse(figpier.RefusalNoBackend)
 	default:
 		a.mark(c, figpier.LimitConcurrency)
