--- a/internal/traffic/control/doc.go
+++ b/internal/traffic/control/doc.go
@@ -1,2 +1,3 @@
-// Package control follows the configuration and the members from the control instances.
+// Package control polls the control instances for the configuration and the members of services, and publishes both to
+// traffic threads.
 package control
--- a/internal/traffic/control/state.go
+++ b/internal/traffic/control/state.go
@@ -10,41 +10,41 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// maxQuorumAgeMillis is far above any freshness bound; the age of an instance that never knew itself current is greater, and
-// overflows a duration.
+// maxQuorumAgeMillis is far above any freshness bound. A control instance that never knew that it was current reports a
+// greater age, which would overflow a time.Duration.
 const maxQuorumAgeMillis = int(time.Hour / time.Millisecond)
 
-// snapshot is what traffic threads read.
+// snapshot is the part of the state that traffic threads read. A published snapshot is never changed.
 type snapshot struct {
 	configuration *figpier.Configuration
 	members       map[figpier.UpstreamService][]*figpier.Member
-	// followed are the services that polls ask for.
+	// followed are the services whose members polls ask for.
 	followed figpier.Set[figpier.UpstreamService]
-	// known are the services whose members have come.
-	known figpier.Set[figpier.UpstreamService]
-	// registry and memberVersion say up to where the members are known.
+	// loaded are the services whose members have been received.
+	loaded figpier.Set[figpier.UpstreamService]
+	// registry and memberVersion identify the last member list received; an empty registry requests all members.
 	registry      string
 	memberVersion int
 	// nodes is the number of nodes of all services.
 	nodes int
 	// control is the message address of the control instance that answered last.
 	control string
-	// polled is when the poll was sent that it answered.
+	// polled is when the poll was sent that this answer belongs to.
 	polled time.Time
-	// controls are the control instances that the last answer named.
+	// controls are the control instances listed in the last answer.
 	controls []figpier.ControlPlace
-	// certain is the latest time at which the configuration is known to have been the accepted one.
-	certain time.Time
+	// confirmed is the latest time at which the configuration is known to have been the accepted one.
+	confirmed time.Time
 }
 
-// state is the control state of a view.
+// state is the full state of a View. Only the control thread uses it.
 type state struct {
 	snapshot
 	members map[figpier.InstanceID]*figpier.Member
-	waiting map[figpier.UpstreamService][]chan struct{}
-	// watched is the certain time that unwatch ends the watch of.
-	watched time.Time
-	unwatch func()
+	waiters map[figpier.UpstreamService][]chan struct{}
+	// timerFor is the confirmed time that the stale timer was started for, and stopTimer stops that timer.
+	timerFor  time.Time
+	stopTimer func()
 }
 
 func newState() *state {
@@ -52,16 +52,16 @@
 		snapshot: snapshot{
 			configuration: figpier.NewConfiguration(figpier.ConfigurationConfig{}),
 			followed:      figpier.NewSet[figpier.UpstreamService](),
-			known:         figpier.NewSet[figpier.UpstreamService](),
+			loaded:        figpier.NewSet[figpier.UpstreamService](),
 		},
 		members: map[figpier.InstanceID]*figpier.Member{},
-		waiting: map[figpier.UpstreamService][]chan struct{}{},
+		waiters: map[figpier.UpstreamService][]chan struct{}{},
 	}
 }
 
-// follow adds a service and forgets up to where members are known, so that the next poll brings all of them.
-func (s *state) follow(e *followed) {
-	s.waiting[e.service] = append(s.waiting[e.service], e.known)
+// follow adds a service and clears registry, so that the next poll returns all members.
+func (s *state) follow(e *followRequested) {
+	s.waiters[e.service] = append(s.waiters[e.service], e.loaded)
 	if s.followed.Has(e.service) {
 		return
 	}
@@ -69,27 +69,27 @@
 	s.registry = ""
 }
 
-// install takes an answer over and reports whether it brought a newer configuration.
-// A lower revision is never installed over a higher one, and does not renew the view.
-func (s *state) install(a *answered) (newer bool) {
+// applyAnswer applies an answer and reports whether it brought a newer configuration. An answer with a lower revision
+// neither replaces the configuration nor confirms it.
+func (s *state) applyAnswer(a *pollAnswered) (newer bool) {
 	s.control, s.polled = a.control, a.sent
-	next, ok := s.next(a.answer)
+	next, ok := s.nextConfiguration(a.answer)
 	if !ok {
 		return false
 	}
 	newer = next != s.configuration
 	s.configuration = next
 	age := time.Duration(a.answer.QuorumAgeMillis) * time.Millisecond
-	certain := a.sent.Add(-age)
-	if a.answer.QuorumAgeMillis < maxQuorumAgeMillis && a.answer.Revision == int(next.Revision()) && certain.After(s.certain) {
-		s.certain = certain
+	confirmed := a.sent.Add(-age)
+	if a.answer.QuorumAgeMillis < maxQuorumAgeMillis && a.answer.Revision == int(next.Revision()) && confirmed.After(s.confirmed) {
+		s.confirmed = confirmed
 	}
-	s.installMembers(a)
+	s.applyMembers(a)
 	return newer
 }
 
-// next returns the configuration after an answer, or false when the answer can't be used.
-func (s *state) next(a message.PollAnswer) (*figpier.Configuration, bool) {
+// nextConfiguration returns the configuration after an answer, or false when the answer cannot be decoded or applied.
+func (s *state) nextConfiguration(a message.PollAnswer) (*figpier.Configuration, bool) {
 	current := s.configuration
 	if a.Revision <= int(current.Revision()) {
 		return current, true
@@ -105,11 +105,13 @@
 	return current, true
 }
 
-func (s *state) installMembers(a *answered) {
+// applyMembers applies the members of an answer. It marks the followed services as loaded only if the poll asked for all of
+// them.
+func (s *state) applyMembers(a *pollAnswered) {
 	if a.answer.Full && a.answer.Settled {
 		clear(s.members)
 	}
-	s.installPlaces(a.answer)
+	s.applyPlaces(a.answer)
 	for _, m := range a.answer.Members {
 		s.members[figpier.InstanceID(m.Instance)] = codec.ToMember(m)
 	}
@@ -124,15 +126,15 @@
 		return
 	}
 	if a.answer.Settled {
-		// A registry that is not settled is asked for all its members again.
+		// A registry that has not settled is asked for all its members again.
 		s.registry = a.answer.Registry
 	}
 	s.memberVersion = a.answer.MemberVersion
-	s.known = s.followed
+	s.loaded = s.followed
 }
 
-// installPlaces keeps where control instances run and how many nodes there are, once the answering one knows.
-func (s *state) installPlaces(a message.PollAnswer) {
+// applyPlaces records the control instances, and the number of nodes if the answering registry has settled.
+func (s *state) applyPlaces(a message.PollAnswer) {
 	if a.Settled {
 		s.nodes = a.Nodes
 	}
@@ -146,20 +148,22 @@
 	}
 }
 
-// release tells the traffic threads that wait for members which are published now.
-func (s *state) release() {
-	for service, waiting := range s.waiting {
-		if !s.known.Has(service) {
+// notifyWaiters closes the channels of those that wait for the members of a loaded service. It is called after the members
+// are published.
+func (s *state) notifyWaiters() {
+	for service, channels := range s.waiters {
+		if !s.loaded.Has(service) {
 			continue
 		}
-		for _, known := range waiting {
-			close(known)
+		for _, loaded := range channels {
+			close(loaded)
 		}
-		delete(s.waiting, service)
+		delete(s.waiters, service)
 	}
 }
 
-func (s *state) publish() *snapshot {
+// newSnapshot returns a copy of the state for traffic threads, with members by service in the order of their instances.
+func (s *state) newSnapshot() *snapshot {
 	published := s.snapshot
 	published.members = map[figpier.UpstreamService][]*figpier.Member{}
 	for _, m := range s.members {
--- a/internal/traffic/control/view.go
+++ b/internal/traffic/control/view.go
@@ -15,55 +15,59 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Config builds a View.
+// Config configures a View.
 type Config struct {
-	// Controls are the message addresses of the control instances; where there are none, they are found through the
-	// process's seeds.
+	// Controls are the message addresses of the control instances. If empty, they are discovered through the process's
+	// seeds.
 	Controls []string
-	// DataCentre is where the node runs.
+	// DataCentre is the data centre that the node runs in.
 	DataCentre figpier.DataCentre
-	// Region is where the data centre is.
+	// Region is the region of that data centre.
 	Region figpier.Region
-	// QuorumAge is how long ago a control instance may have known itself current before another one is asked.
+	// QuorumAge is how long ago a control instance may last have known that it is current before the next one is polled,
+	// Freshness when 0.
 	QuorumAge time.Duration
-	// Freshness is the greatest age of the view at which keys are honoured.
+	// Freshness is the greatest age of the view at which keys are accepted.
 	Freshness time.Duration
-	// Margin is how much older than Freshness the view is when requests that came with a key are ended.
+	// Margin is how much older than Freshness the view gets before running requests that came with a key are ended.
 	Margin time.Duration
-	// PollWait is how long a control instance holds a poll without news.
+	// PollWait is how long a control instance holds a poll while it has nothing new.
 	PollWait time.Duration
-	// AskTimeout is how long an unanswered poll lasts before the next control instance is tried.
+	// AskTimeout is how long a poll may stay unanswered, beyond the time it is held, before the next control instance is
+	// tried.
 	AskTimeout time.Duration
-	// RetryPause is the pause after all control instances failed.
+	// RetryPause is the pause after all control instances have failed or have been left.
 	RetryPause time.Duration
-	// Log takes a line for each change of what the node believes, nil for none.
+	// Log receives a line for each configuration change and each failed poll. No lines are written when nil.
 	Log *logrus.Entry
 }
 
-// farthest is the distance of a control instance in another region.
-const farthest = 2
+// otherRegionDistance is the distance of a control instance in another region.
+const otherRegionDistance = 2
 
-// returnTime is how long a farther control instance is polled before the nearest one is tried again; each try of a dead one
-// costs an unanswered poll.
-const returnTime = 5 * time.Second
+// nearerRetryInterval is how long a more distant control instance is polled before the nearest one is tried again. Each
+// try of an unreachable one costs a poll timeout.
+const nearerRetryInterval = 5 * time.Second
 
-// longAgo is far above the time for which a control instance counts a node that polls it no more.
-const longAgo = time.Hour
+// noOtherPollAge is reported when no other control instance was polled. It is far above the time for which a control
+// instance counts a node that has stopped polling it.
+const noOtherPollAge = time.Hour
 
-// View implements figpier.ConfigurationView.
+// View implements figpier.ConfigurationView and figpier.Staleness. A goroutine polls, the control thread applies the
+// answers, and traffic threads read the published snapshot.
 type View struct {
-	config    Config
-	clock     figpier.Clock
-	control   figpier.ControlThread
-	messenger figpier.Messenger
-	seeds     figpier.SeedSource
-	published atomic.Pointer[snapshot]
-	own       atomic.Pointer[figpier.Member]
-	announced chan struct{}
-
-	// failed is when control instances failed last, and asked when they were polled last; the polling goroutine owns both.
-	failed map[string]time.Time
-	asked  map[string]time.Time
+	config          Config
+	clock           figpier.Clock
+	control         figpier.ControlThread
+	messenger       figpier.Messenger
+	seeds           figpier.SeedSource
+	published       atomic.Pointer[snapshot]
+	ownMember       atomic.Pointer[figpier.Member]
+	repollRequested chan struct{}
+
+	// lastFailure and lastPoll hold the last time by message address. Only the polling goroutine uses them.
+	lastFailure map[string]time.Time
+	lastPoll    map[string]time.Time
 
 	mu          sync.Mutex
 	subscribers []func(*figpier.Configuration)
@@ -72,7 +76,7 @@
 	state *state
 }
 
-// New returns a view without a configuration.
+// New returns a view with an empty configuration.
 func New(c Config) *View {
 	if c.Log == nil {
 		silent := logrus.New()
@@ -82,9 +86,9 @@
 	if c.QuorumAge == 0 {
 		c.QuorumAge = c.Freshness
 	}
-	v := &View{config: c, announced: make(chan struct{}, 1), failed: map[string]time.Time{}, asked: map[string]time.Time{}, state: newState()}
-	v.published.Store(v.state.publish())
-	v.own.Store(figpier.NewMember(figpier.MemberConfig{}))
+	v := &View{config: c, repollRequested: make(chan struct{}, 1), lastFailure: map[string]time.Time{}, lastPoll: map[string]time.Time{}, state: newState()}
+	v.published.Store(v.state.newSnapshot())
+	v.ownMember.Store(figpier.NewMember(figpier.MemberConfig{}))
 	return v
 }
 
@@ -103,7 +107,7 @@
 			return err
 		}
 	}
-	go v.follow(ctx)
+	go v.pollLoop(ctx)
 	return nil
 }
 
@@ -116,7 +120,7 @@
 // Fresh implements figpier.ConfigurationView.
 func (v *View) Fresh(now time.Time) bool {
 	s := v.published.Load()
-	return !s.certain.IsZero() && now.Sub(s.certain) < v.config.Freshness
+	return !s.confirmed.IsZero() && now.Sub(s.confirmed) < v.config.Freshness
 }
 
 // Members implements figpier.ConfigurationView.
@@ -149,68 +153,68 @@
 
 // Announce implements figpier.ConfigurationView.
 func (v *View) Announce(m *figpier.Member) {
-	v.own.Store(m)
+	v.ownMember.Store(m)
 	v.repoll()
 }
 
-// repoll ends the poll in flight in favour of a new one.
+// repoll makes the polling goroutine replace the poll in flight by a new one.
 func (v *View) repoll() {
 	select {
-	case v.announced <- struct{}{}:
+	case v.repollRequested <- struct{}{}:
 	default:
 	}
 }
 
 // Follow implements figpier.ConfigurationView.
 func (v *View) Follow(ctx context.Context, s figpier.UpstreamService) error {
-	if v.published.Load().known.Has(s) {
+	if v.published.Load().loaded.Has(s) {
 		return nil
 	}
-	e := &followed{service: s, known: make(chan struct{})}
+	e := &followRequested{service: s, loaded: make(chan struct{})}
 	if err := v.control.Post(e); err != nil {
 		return err
 	}
 	select {
-	case <-e.known:
+	case <-e.loaded:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// follow polls one control instance for as long as it answers, and then the next; the nearest ones go first.
-func (v *View) follow(ctx context.Context) {
+// pollLoop polls control instances in the order of preference, each for as long as it answers.
+func (v *View) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		for i, address := range v.order() {
-			v.stay(ctx, address, i == 0)
+		for i, address := range v.pollOrder() {
+			v.pollInstance(ctx, address, i == 0)
 		}
-		v.pause(ctx)
+		v.waitRetryPause(ctx)
 	}
 }
 
-// stay polls a control instance for as long as it answers, and for a limited time where there is a nearer one.
-func (v *View) stay(ctx context.Context, address string, nearest bool) {
-	until := v.clock.Now().Add(returnTime)
-	// The first poll asks for an answer at once, so that an instance that is gone is left soon.
+// pollInstance polls a control instance until it fails, or for nearerRetryInterval if there is a nearer one.
+func (v *View) pollInstance(ctx context.Context, address string, nearest bool) {
+	deadline := v.clock.Now().Add(nearerRetryInterval)
+	// The first poll asks for an immediate answer, so that an unreachable instance is detected early.
 	wait := time.Duration(0)
-	for v.poll(ctx, address, wait) && (nearest || v.clock.Now().Before(until)) {
+	for v.poll(ctx, address, wait) && (nearest || v.clock.Now().Before(deadline)) {
 		wait = v.config.PollWait
 	}
 	if ctx.Err() == nil {
-		v.failed[address] = v.clock.Now()
+		v.lastFailure[address] = v.clock.Now()
 	}
 }
 
-// order returns the message addresses of the control instances, the nearest first.
-func (v *View) order() []string {
+// pollOrder returns the message addresses of the control instances in the order in which to poll them.
+func (v *View) pollOrder() []string {
 	if len(v.config.Controls) > 0 {
 		return v.config.Controls
 	}
-	known := slices.Clone(v.published.Load().controls)
+	instances := slices.Clone(v.published.Load().controls)
 	now := v.clock.Now()
-	slices.SortStableFunc(known, func(a, b figpier.ControlPlace) int { return v.rank(now, a) - v.rank(now, b) })
+	slices.SortStableFunc(instances, func(a, b figpier.ControlPlace) int { return v.preference(now, a) - v.preference(now, b) })
 	var addresses []string
-	for _, p := range known {
+	for _, p := range instances {
 		addresses = append(addresses, p.Address())
 	}
 	for _, a := range v.seeds.Seeds() {
@@ -221,16 +225,16 @@
 	return addresses
 }
 
-// rank orders control instances by how near they are, those last that failed lately.
-func (v *View) rank(now time.Time, p figpier.ControlPlace) int {
-	at, failed := v.failed[p.Address()]
-	if failed && now.Sub(at) < returnTime {
-		return farthest + 1 + v.distance(p)
+// preference orders control instances by distance; those that failed within nearerRetryInterval come last.
+func (v *View) preference(now time.Time, p figpier.ControlPlace) int {
+	at, failed := v.lastFailure[p.Address()]
+	if failed && now.Sub(at) < nearerRetryInterval {
+		return otherRegionDistance + 1 + v.distance(p)
 	}
 	return v.distance(p)
 }
 
-// distance tells how near a control instance is: own data centre, own region, elsewhere.
+// distance returns 0 for the own data centre, 1 for the own region, and otherRegionDistance elsewhere.
 func (v *View) distance(p figpier.ControlPlace) int {
 	switch {
 	case p.DataCentre() == v.config.DataCentre:
@@ -238,55 +242,56 @@
 	case p.Region() == v.config.Region:
 		return 1
 	}
-	return farthest
+	return otherRegionDistance
 }
 
-func (v *View) pause(ctx context.Context) {
-	over := make(chan struct{})
-	cancel := v.clock.AfterFunc(v.config.RetryPause, func() { close(over) })
+func (v *View) waitRetryPause(ctx context.Context) {
+	elapsed := make(chan struct{})
+	cancel := v.clock.AfterFunc(v.config.RetryPause, func() { close(elapsed) })
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-over:
+	case <-elapsed:
 	}
 }
 
-// poll reports whether the control instance answered with a view that is current; it may hold the poll for a time.
+// poll sends one poll and waits until its answer is applied. It returns false if the control instance did not answer, or
+// has not known for QuorumAge that it is current. A poll that repoll ended counts as answered.
 func (v *View) poll(ctx context.Context, address string, wait time.Duration) bool {
-	ask, cancel := context.WithTimeout(ctx, wait+v.config.AskTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, wait+v.config.AskTimeout)
 	defer cancel()
-	ended := make(chan struct{})
-	defer close(ended)
-	var announced atomic.Bool
+	done := make(chan struct{})
+	defer close(done)
+	var repolled atomic.Bool
 	go func() {
 		select {
-		case <-v.announced:
-			announced.Store(true)
+		case <-v.repollRequested:
+			repolled.Store(true)
 			cancel()
-		case <-ended:
+		case <-done:
 		}
 	}()
 
 	sent := v.clock.Now()
 	known := v.published.Load()
-	p := v.question(known, wait)
-	p.ElsewhereMillis = int(v.elsewhere(sent, address).Milliseconds())
-	v.asked[address] = sent
+	p := v.newPoll(known, wait)
+	p.ElsewhereMillis = int(v.sinceOtherPoll(sent, address).Milliseconds())
+	v.lastPoll[address] = sent
 	var a message.PollAnswer
-	if err := v.messenger.Ask(ask, address, figpier.MethodPoll, p, &a); err != nil {
-		if announced.Load() && ctx.Err() == nil {
+	if err := v.messenger.Ask(pollCtx, address, figpier.MethodPoll, p, &a); err != nil {
+		if repolled.Load() && ctx.Err() == nil {
 			return true
 		}
 		v.config.Log.WithError(err).WithField("control", address).Warn("a control instance does not answer")
 		return false
 	}
-	e := &answered{sent: sent, control: address, followed: known.followed, answer: a, installed: make(chan struct{})}
+	e := &pollAnswered{sent: sent, control: address, followed: known.followed, answer: a, applied: make(chan struct{})}
 	if err := v.control.Post(e); err != nil {
 		return false
 	}
 	select {
 	case <-ctx.Done():
-	case <-e.installed:
+	case <-e.applied:
 	}
 	if a.QuorumAgeMillis >= int(v.config.QuorumAge.Milliseconds()) {
 		line := v.config.Log.WithFields(logrus.Fields{"control": address, "quorumAgeMillis": a.QuorumAgeMillis})
@@ -296,25 +301,25 @@
 	return true
 }
 
-// elsewhere returns how long ago a control instance other than that of an address was polled.
-func (v *View) elsewhere(now time.Time, address string) time.Duration {
-	ago := longAgo
-	for a, at := range v.asked {
+// sinceOtherPoll returns how long ago a control instance at any other address was polled.
+func (v *View) sinceOtherPoll(now time.Time, address string) time.Duration {
+	age := noOtherPollAge
+	for a, at := range v.lastPoll {
 		if a != address {
-			ago = min(ago, now.Sub(at))
+			age = min(age, now.Sub(at))
 		}
 	}
-	return ago
+	return age
 }
 
-func (v *View) question(s *snapshot, wait time.Duration) message.Poll {
+func (v *View) newPoll(s *snapshot, wait time.Duration) message.Poll {
 	p := message.Poll{
 		Revision:      int(s.configuration.Revision()),
 		Registry:      s.registry,
 		MemberVersion: s.memberVersion,
 		Services:      []string{},
 		WaitMillis:    int(wait.Milliseconds()),
-		Member:        codec.FromMember(v.own.Load()),
+		Member:        codec.FromMember(v.ownMember.Load()),
 	}
 	for _, service := range s.followed.Values() {
 		p.Services = append(p.Services, string(service))
@@ -322,65 +327,66 @@
 	return p
 }
 
-// answered is a control instance's answer to a poll.
-type answered struct {
-	sent      time.Time
-	control   string
-	followed  figpier.Set[figpier.UpstreamService]
-	answer    message.PollAnswer
-	installed chan struct{}
+// pollAnswered is the event of an answer to a poll.
+type pollAnswered struct {
+	sent     time.Time
+	control  string
+	followed figpier.Set[figpier.UpstreamService]
+	answer   message.PollAnswer
+	applied  chan struct{}
 }
 
 // Target implements figpier.Event.
-func (*answered) Target() figpier.ServiceName { return figpier.ConfigurationService }
+func (*pollAnswered) Target() figpier.ServiceName { return figpier.ConfigurationService }
 
-// followed is a traffic thread's wish to know the members of a service.
-type followed struct {
+// followRequested is the event of a traffic thread's request for the members of a service.
+type followRequested struct {
 	service figpier.UpstreamService
-	known   chan struct{}
+	loaded  chan struct{}
 }
 
 // Target implements figpier.Event.
-func (*followed) Target() figpier.ServiceName { return figpier.ConfigurationService }
+func (*followRequested) Target() figpier.ServiceName { return figpier.ConfigurationService }
 
 // HandleEvent implements figpier.EventHandler.
 func (v *View) HandleEvent(now time.Time, e figpier.Event) {
 	newer := false
 	switch e := e.(type) {
-	case outdated:
-		v.endStale(e)
+	case staleTimerFired:
+		v.handleStaleTimer(e)
 		return
-	case *answered:
-		defer close(e.installed)
-		newer = v.state.install(e)
-		v.watch(now)
-	case *followed:
+	case *pollAnswered:
+		defer close(e.applied)
+		newer = v.state.applyAnswer(e)
+		v.startStaleTimer(now)
+	case *followRequested:
 		v.state.follow(e)
 		defer v.repoll()
 	}
-	v.published.Store(v.state.publish())
-	v.state.release()
+	v.published.Store(v.state.newSnapshot())
+	v.state.notifyWaiters()
 	if newer {
-		v.report(now)
-		v.tell()
+		v.logConfiguration(now)
+		v.notifySubscribers()
 	}
 }
 
-// report logs the configuration that is in force from now on.
-func (v *View) report(now time.Time) {
+// logConfiguration logs the configuration that was just published.
+func (v *View) logConfiguration(now time.Time) {
 	c := v.state.configuration
 	line := v.config.Log.WithFields(logrus.Fields{
 		"revision": int(c.Revision()),
 		"control":  v.state.control,
-		"age":      now.Sub(v.state.certain).String(),
+		"age":      now.Sub(v.state.confirmed).String(),
 	})
 	if c.Table() != nil {
 		line = line.WithField("table", c.Table().Number())
 	}
-	line.Info("a newer configuration is in force")
+	line.Info("configuration updated")
 }
 
-func (v *View) tell() {
+// notifySubscribers calls the subscribers on the control thread, without the lock.
+func (v *View) notifySubscribers() {
 	v.mu.Lock()
 	subscribers := v.subscribers
 	v.mu.Unlock()
@@ -389,34 +395,35 @@
 	}
 }
 
-// outdated is due when a view that was not renewed since is too old to go on with keys.
-type outdated struct{ certain time.Time }
+// staleTimerFired is posted when the view may have become too old for requests that came with a key.
+type staleTimerFired struct{ confirmed time.Time }
 
 // Target implements figpier.Event.
-func (outdated) Target() figpier.ServiceName { return figpier.ConfigurationService }
+func (staleTimerFired) Target() figpier.ServiceName { return figpier.ConfigurationService }
 
-// watch has the control thread told when the view is too old, unless it is renewed before.
-func (v *View) watch(now time.Time) {
-	certain := v.state.certain
-	if certain.Equal(v.state.watched) {
+// startStaleTimer posts staleTimerFired for when the view is too old, in place of the timer for an earlier confirmed time.
+func (v *View) startStaleTimer(now time.Time) {
+	confirmed := v.state.confirmed
+	if confirmed.Equal(v.state.timerFor) {
 		return
 	}
-	v.state.watched = certain
-	if v.state.unwatch != nil {
-		v.state.unwatch()
+	v.state.timerFor = confirmed
+	if v.state.stopTimer != nil {
+		v.state.stopTimer()
 	}
-	due := certain.Add(v.config.Freshness + v.config.Margin).Sub(now)
-	v.state.unwatch = v.control.PostAfter(due, outdated{certain: certain})
+	due := confirmed.Add(v.config.Freshness + v.config.Margin).Sub(now)
+	v.state.stopTimer = v.control.PostAfter(due, staleTimerFired{confirmed: confirmed})
 }
 
-func (v *View) endStale(e outdated) {
-	if !e.certain.Equal(v.state.certain) {
+// handleStaleTimer calls the WhenStale callbacks unless the view was confirmed again after the timer was started.
+func (v *View) handleStaleTimer(e staleTimerFired) {
+	if !e.confirmed.Equal(v.state.confirmed) {
 		return
 	}
 	v.mu.Lock()
-	ends := v.whenStale
+	callbacks := v.whenStale
 	v.mu.Unlock()
-	for _, end := range ends {
-		end()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
--- a/internal/traffic/control/view_test.go
+++ b/internal/traffic/control/view_test.go
@@ -15,10 +15,10 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// fakeMessenger answers for the control instances that live, and never for the others.
+// fakeMessenger answers for the control instances that are alive, and lets messages to the others time out.
 type fakeMessenger struct {
 	mu    sync.Mutex
-	lives map[string]bool
+	alive map[string]bool
 	asked []string
 }
 
@@ -30,9 +30,9 @@
 func (m *fakeMessenger) Ask(ctx context.Context, address string, _ figpier.Method, question, answer any) error {
 	m.mu.Lock()
 	m.asked = append(m.asked, address)
-	lives := m.lives[address]
+	alive := m.alive[address]
 	m.mu.Unlock()
-	if !lives {
+	if !alive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -51,10 +51,10 @@
 	return nil
 }
 
-func (m *fakeMessenger) set(address string, lives bool) {
+func (m *fakeMessenger) setAlive(address string, alive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lives[address] = lives
+	m.alive[address] = alive
 }
 
 // seeds implements figpier.SeedSource.
@@ -65,8 +65,8 @@
 func (seeds) Stop(context.Context) error                     { return nil }
 func (s seeds) Seeds() []string                              { return s }
 
-func TestViewLeavesLostControlInstancesWithinTheBound(t *testing.T) {
-	m := &fakeMessenger{lives: map[string]bool{"far": true, "near": true, "beside": true}}
+func TestViewSwitchesFromUnreachableControlInstances(t *testing.T) {
+	m := &fakeMessenger{alive: map[string]bool{"far": true, "near": true, "beside": true}}
 	v := New(Config{
 		DataCentre: "a1",
 		Region:     "a",
@@ -84,17 +84,17 @@
 	go func() {
 		done <- k.Run(ctx, func() (context.Context, context.CancelFunc) { return context.WithCancel(context.Background()) })
 	}()
-	// The seed tells where the others are; it is left for nearer ones after a while, or when it fails.
+	// The view learns of the others from the seed, which it leaves for a nearer one once it fails or after nearerRetryInterval.
 	waitFor(t, func() bool { return v.Control() == "far" })
-	m.set("far", false)
+	m.setAlive("far", false)
 	waitFor(t, func() bool { return v.Control() == "near" })
 
-	m.set("near", false)
-	m.set("beside", false)
-	m.set("far", true)
+	m.setAlive("near", false)
+	m.setAlive("beside", false)
+	m.setAlive("far", true)
 	lost := time.Now()
 	waitFor(t, func() bool { return v.Control() == "far" })
-	// One held poll and two that ask for an answer at once, with a pause in between.
+	// Expected are one held poll and two immediate ones, with a pause in between; the bound is ten times the polls.
 	assert.Assert(t, time.Since(lost) < 10*(60+3*40)*time.Millisecond, "%v", time.Since(lost))
 	m.mu.Lock()
 	assert.Assert(t, slices.Contains(m.asked, "beside"))
@@ -112,7 +112,7 @@
 	for !done() {
 		select {
 		case <-end.C:
-			t.Fatal("nothing came")
+			t.Fatal("condition not met within 10 s")
 		case <-tick.C:
 		}
 	}
