--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -60,7 +60,7 @@
 	window        time.Duration
 	limit         limit
 	queue         queue
-	threshold     threshold
+	cutOff        cutOff
 	running       int
 	lastRelease   time.Time
 	sheddingSince time.Time
@@ -74,7 +74,7 @@
 	if c.Window == 0 {
 		c.Window = defaultWindow
 	}
-	return &Controller{queueTime: c.QueueTime, window: c.Window, limit: limit{fixed: c.FixedLimit}, threshold: newThreshold()}
+	return &Controller{queueTime: c.QueueTime, window: c.Window, limit: limit{fixed: c.FixedLimit}, cutOff: newCutOff()}
 }
 
 // SetSlots sets the number of slots that the backend server announced, 0 when it is gone, and returns the decisions on
@@ -93,14 +93,14 @@
 	if c.missesDeadline(now, deadline) {
 		return DeadlineMissed, nil
 	}
-	c.threshold.addOffered(r)
+	c.cutOff.addOffered(r)
 	c.limit.offered++
 	if c.queue.len() == 0 && c.running < c.limit.calls() {
 		c.start()
 		return Run, nil
 	}
 	c.limit.blocked++
-	if r.Refused(c.threshold.value) {
+	if r.Refused(c.cutOff.value) {
 		c.markShedding(now)
 		return Overloaded, nil
 	}
@@ -154,7 +154,7 @@
 // CutOff returns the lowest rank that is refused without queueing, or figpier.MaxRank when none is.
 func (c *Controller) CutOff(now time.Time) figpier.Rank {
 	c.closeWindows(now)
-	return c.threshold.value
+	return c.cutOff.value
 }
 
 // QueueTime returns how long a call that is submitted now may wait.
@@ -192,14 +192,14 @@
 		decisions = append(decisions, Decision{id: w.id, verdict: Run})
 	}
 	if c.running < c.limit.calls() {
-		c.threshold.slotsFree = true
+		c.cutOff.slotsFree = true
 	}
 	return decisions
 }
 
 func (c *Controller) start() {
 	c.running++
-	c.threshold.started++
+	c.cutOff.started++
 }
 
 // missesDeadline reports whether a call cannot end by its deadline. When nothing has run for probeInterval, every call whose
@@ -228,7 +228,7 @@
 
 // countShed records a call that the queue shed.
 func (c *Controller) countShed(now time.Time) {
-	c.threshold.shed++
+	c.cutOff.shed++
 	c.markShedding(now)
 }
 
@@ -240,8 +240,8 @@
 
 func (c *Controller) closeWindows(now time.Time) {
 	c.limit.closeWindow(now, c.window)
-	c.threshold.closeWindows(now, c.window)
-	if c.threshold.value == figpier.MaxRank && c.threshold.shed == 0 {
+	c.cutOff.closeWindows(now, c.window)
+	if c.cutOff.value == figpier.MaxRank && c.cutOff.shed == 0 {
 		c.sheddingSince = time.Time{}
 	}
 }
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -20,63 +20,63 @@
 // runsBefore reports whether a starts before b, where a arrived later.
 func runsBefore(a, b queuedCall) bool { return a.rank <= b.rank }
 
-func (w *referenceQueue) best() (at int) {
-	for i := range w.calls {
-		if runsBefore(w.calls[i], w.calls[at]) {
+func (q *referenceQueue) best() (at int) {
+	for i := range q.calls {
+		if runsBefore(q.calls[i], q.calls[at]) {
 			at = i
 		}
 	}
 	return at
 }
 
-func (w *referenceQueue) worst() (at int) {
-	for i := range w.calls {
-		if !runsBefore(w.calls[i], w.calls[at]) {
+func (q *referenceQueue) worst() (at int) {
+	for i := range q.calls {
+		if !runsBefore(q.calls[i], q.calls[at]) {
 			at = i
 		}
 	}
 	return at
 }
 
-func (w *referenceQueue) remove(at int) CallID {
-	id := w.calls[at].id
-	w.calls = append(append([]queuedCall(nil), w.calls[:at]...), w.calls[at+1:]...)
+func (q *referenceQueue) remove(at int) CallID {
+	id := q.calls[at].id
+	q.calls = append(append([]queuedCall(nil), q.calls[:at]...), q.calls[at+1:]...)
 	return id
 }
 
-func (w *referenceQueue) offer(c queuedCall) (Verdict, []Decision) {
-	if len(w.calls) == 0 && w.running < w.limit {
-		w.running++
+func (q *referenceQueue) offer(c queuedCall) (Verdict, []Decision) {
+	if len(q.calls) == 0 && q.running < q.limit {
+		q.running++
 		return Run, nil
 	}
-	w.calls = append(w.calls, c)
-	if len(w.calls) <= w.maxLength {
+	q.calls = append(q.calls, c)
+	if len(q.calls) <= q.maxLength {
 		return Wait, nil
 	}
-	if shed := w.remove(w.worst()); shed != c.id {
+	if shed := q.remove(q.worst()); shed != c.id {
 		return Wait, []Decision{{id: shed, verdict: Overloaded}}
 	}
 	return Overloaded, nil
 }
 
-func (w *referenceQueue) startWaiting(effects []Decision) []Decision {
-	for len(w.calls) > 0 && w.running < w.limit {
-		w.running++
-		effects = append(effects, Decision{id: w.remove(w.best()), verdict: Run})
+func (q *referenceQueue) startWaiting(decisions []Decision) []Decision {
+	for len(q.calls) > 0 && q.running < q.limit {
+		q.running++
+		decisions = append(decisions, Decision{id: q.remove(q.best()), verdict: Run})
 	}
-	return effects
+	return decisions
 }
 
-func (w *referenceQueue) expire(now time.Time) []Decision {
-	var effects []Decision
-	for i := 0; i < len(w.calls); {
-		if !now.Before(w.calls[i].expires) {
-			effects = append(effects, Decision{id: w.remove(i), verdict: Overloaded})
+func (q *referenceQueue) expire(now time.Time) []Decision {
+	var decisions []Decision
+	for i := 0; i < len(q.calls); {
+		if !now.Before(q.calls[i].expires) {
+			decisions = append(decisions, Decision{id: q.remove(i), verdict: Overloaded})
 			continue
 		}
 		i++
 	}
-	return w.startWaiting(effects)
+	return q.startWaiting(decisions)
 }
 
 func TestControllerMatchesReferenceQueue(t *testing.T) {
@@ -84,7 +84,7 @@
 		now, never := time.Unix(0, 0), time.Unix(1e6, 0)
 		c := New(Config{Window: time.Hour})
 		c.SetSlots(now, rapid.IntRange(1, 20).Draw(t, "slots"))
-		w := &referenceQueue{limit: c.Limit(), maxLength: c.maxQueueLength()}
+		reference := &referenceQueue{limit: c.Limit(), maxLength: c.maxQueueLength()}
 		var next CallID
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "gap")) * time.Millisecond)
@@ -94,22 +94,22 @@
 				next++
 				r := figpier.Rank(rapid.IntRange(0, 9).Draw(t, "rank"))
 				v, e := c.Submit(now, next, r, never)
-				wv, we := w.offer(queuedCall{id: next, rank: r, expires: now.Add(c.QueueTime())})
+				wv, we := reference.offer(queuedCall{id: next, rank: r, expires: now.Add(c.QueueTime())})
 				assert.Equal(t, v, wv)
 				got, want = e, we
 			case 3:
-				if w.running == 0 {
+				if reference.running == 0 {
 					continue
 				}
-				w.running--
+				reference.running--
 				got = c.Release(now, figpier.NewOutcome(figpier.OutcomeFailed, 0))
-				want = w.startWaiting(nil)
+				want = reference.startWaiting(nil)
 			default:
-				got, want = c.Expire(now), w.expire(now)
+				got, want = c.Expire(now), reference.expire(now)
 			}
 			assert.DeepEqual(t, sortedByID(got), sortedByID(want), compareDecisions)
-			assert.Equal(t, c.Waiting(), len(w.calls))
-			assert.Equal(t, c.Running(), w.running)
+			assert.Equal(t, c.Waiting(), len(reference.calls))
+			assert.Equal(t, c.Running(), reference.running)
 		}
 	})
 }
--- a/internal/policy/admission/limit.go
+++ b/internal/policy/admission/limit.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	initialShare     = 0.5 // share of the announced slots that a backend server starts with
-	rampFactor       = 1.5
-	growShare        = 0.05
-	slowRatio        = 1.5 // ratio of the service time to the baseline above which the limit is tried lower
-	trialFactor      = 0.8
-	trialLossShare   = 0.5 // share of the expected loss of throughput that ends a trial
-	saturatedShare   = 0.5 // share of the offered calls that found no free slot
-	minTrialLimit    = 8
-	shedFactor       = 0.9
-	growRatio        = 1.2 // ratio of the service time to the baseline up to which the limit grows
-	baselineGain     = 0.3
-	windowSamples    = 20
-	rampSamples      = 4
-	trialSamples     = 80
-	minTrialAnswers  = 20 // a trial with fewer answers is inconclusive
-	maxLimitWindow   = 2 * time.Second
-	recoveredShare   = 0.7 // service time, as a share of the expected one, below which the backend server itself has become faster
-	trialGenerations = 4   // window of a trial, in generations of calls
+	initialShare     = 0.5             // share of the announced slots that a backend server starts with
+	rampFactor       = 1.5             // growth per window after the start of the backend server
+	growShare        = 0.05            // growth per window after that
+	slowRatio        = 1.5             // ratio of the service time to the baseline above which the limit is tried lower
+	trialFactor      = 0.8             // limit of a trial, relative to the one before
+	trialLossShare   = 0.5             // share of the expected loss of throughput that ends a trial
+	saturatedShare   = 0.5             // share of the offered calls that found no free slot
+	minTrialLimit    = 8               // least limit that is tried lower at normal service times
+	shedFactor       = 0.9             // factor for the limit after the backend server rejected a call
+	growRatio        = 1.2             // ratio of the service time to the baseline up to which the limit grows
+	baselineGain     = 0.3             // share of the distance to a shorter service time that the baseline moves per window
+	windowSamples    = 20              // answers that a window needs
+	rampSamples      = 4               // the same while ramping
+	trialSamples     = 80              // the same in a trial, and at service times above the baseline
+	minTrialAnswers  = 20              // a trial with fewer answers is inconclusive
+	maxLimitWindow   = 2 * time.Second // a longer window ends with any number of answers
+	recoveredShare   = 0.7             // service time, as a share of the expected one, below which the backend server itself has become faster
+	trialGenerations = 4               // the least window of a trial, in answers per call of the limit
 	minTrialInterval = 4 * time.Second
 	maxTrialInterval = time.Minute
 )
@@ -58,7 +58,7 @@
 // trial is a lowered limit whose throughput is compared with that of the limit before it.
 type trial struct {
 	active        bool
-	settled       bool
+	settled       bool // the window that still had calls of the previous limit has ended
 	previousLimit float64
 	throughput    float64
 	serviceTime   time.Duration
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -24,6 +24,7 @@
 	calls []queuedCall
 }
 
+// push inserts a call so that it starts before the calls of the same rank.
 func (q *queue) push(w queuedCall) {
 	at, _ := slices.BinarySearchFunc(q.calls, w, func(in, w queuedCall) int {
 		if in.rank > w.rank {
--- a/internal/policy/admission/simulation_test.go
+++ b/internal/policy/admission/simulation_test.go
@@ -57,60 +57,60 @@
 }
 
 func newSimulation(slots, parallel int, rate float64, serviceTime func(time.Duration) time.Duration) *simulation {
-	m := &simulation{controller: New(Config{}), parallel: parallel, serviceTime: serviceTime, rate: rate,
+	s := &simulation{controller: New(Config{}), parallel: parallel, serviceTime: serviceTime, rate: rate,
 		ranks: map[CallID]figpier.Rank{}, random: rand.New(rand.NewPCG(1, 2))}
-	m.controller.SetSlots(time.Unix(0, 0), slots)
-	return m
+	s.controller.SetSlots(time.Unix(0, 0), slots)
+	return s
 }
 
-func (m *simulation) start(at time.Duration, id CallID) {
-	slowdown := max(1, float64(m.controller.Running())/float64(m.parallel))
-	elapsed := time.Duration(float64(m.serviceTime(at)) * slowdown)
-	heap.Push(&m.completions, completion{at: at + elapsed, elapsed: elapsed})
-	m.ran = append(m.ran, m.ranks[id])
+func (s *simulation) start(at time.Duration, id CallID) {
+	slowdown := max(1, float64(s.controller.Running())/float64(s.parallel))
+	elapsed := time.Duration(float64(s.serviceTime(at)) * slowdown)
+	heap.Push(&s.completions, completion{at: at + elapsed, elapsed: elapsed})
+	s.ran = append(s.ran, s.ranks[id])
 }
 
-func (m *simulation) apply(at time.Duration, effects []Decision) {
-	for _, e := range effects {
+func (s *simulation) apply(at time.Duration, decisions []Decision) {
+	for _, e := range decisions {
 		if e.verdict == Run {
-			m.start(at, e.id)
+			s.start(at, e.id)
 			continue
 		}
-		m.shed = append(m.shed, m.ranks[e.id])
+		s.shed = append(s.shed, s.ranks[e.id])
 	}
 }
 
-func (m *simulation) run(length time.Duration) {
+func (s *simulation) run(length time.Duration) {
 	var id CallID
 	next := time.Duration(0)
 	for at := time.Duration(0); at < length; at += time.Millisecond {
 		now := time.Unix(0, 0).Add(at)
-		for len(m.completions) > 0 && m.completions[0].at <= at {
-			e := heap.Pop(&m.completions).(completion)
-			m.doneAt = append(m.doneAt, at)
-			m.apply(at, m.controller.Release(now, figpier.NewOutcome(figpier.OutcomeDone, e.elapsed)))
+		for len(s.completions) > 0 && s.completions[0].at <= at {
+			e := heap.Pop(&s.completions).(completion)
+			s.doneAt = append(s.doneAt, at)
+			s.apply(at, s.controller.Release(now, figpier.NewOutcome(figpier.OutcomeDone, e.elapsed)))
 		}
-		m.apply(at, m.controller.Expire(now))
-		m.cutOffs = append(m.cutOffs, float64(m.controller.CutOff(now))/(1<<31))
-		for ; next <= at; next += time.Duration(m.random.ExpFloat64() / m.rate * float64(time.Second)) {
+		s.apply(at, s.controller.Expire(now))
+		s.cutOffs = append(s.cutOffs, float64(s.controller.CutOff(now))/(1<<31))
+		for ; next <= at; next += time.Duration(s.random.ExpFloat64() / s.rate * float64(time.Second)) {
 			id++
-			m.ranks[id] = figpier.Rank(m.random.Uint32() >> 1)
-			v, effects := m.controller.Submit(now, id, m.ranks[id], now.Add(time.Second))
+			s.ranks[id] = figpier.Rank(s.random.Uint32() >> 1)
+			v, decisions := s.controller.Submit(now, id, s.ranks[id], now.Add(time.Second))
 			if v == Run {
-				m.start(at, id)
+				s.start(at, id)
 			}
 			if v == Overloaded || v == DeadlineMissed {
-				m.shed = append(m.shed, m.ranks[id])
+				s.shed = append(s.shed, s.ranks[id])
 			}
-			m.apply(at, effects)
+			s.apply(at, decisions)
 		}
 	}
 }
 
 // throughput returns the mean number of answers per second between two times.
-func (m *simulation) throughput(from, to time.Duration) float64 {
+func (s *simulation) throughput(from, to time.Duration) float64 {
 	n := 0
-	for _, at := range m.doneAt {
+	for _, at := range s.doneAt {
 		if at >= from && at < to {
 			n++
 		}
@@ -128,10 +128,10 @@
 		announcedFactor := rapid.IntRange(1, 6).Draw(t, "announced factor")
 		load := rapid.Float64Range(1.5, 3).Draw(t, "load")
 		best := float64(parallel) / constantServiceTime(0).Seconds()
-		m := newSimulation(parallel*announcedFactor, parallel, best*load, constantServiceTime)
-		m.run(10 * time.Second)
-		assert.Assert(t, m.throughput(5*time.Second, 10*time.Second) >= 0.9*best)
-		assert.Assert(t, m.controller.Limit() <= 2*parallel+1, "limit %d of %d", m.controller.Limit(), parallel)
+		s := newSimulation(parallel*announcedFactor, parallel, best*load, constantServiceTime)
+		s.run(10 * time.Second)
+		assert.Assert(t, s.throughput(5*time.Second, 10*time.Second) >= 0.9*best)
+		assert.Assert(t, s.controller.Limit() <= 2*parallel+1, "limit %d of %d", s.controller.Limit(), parallel)
 	})
 }
 
@@ -142,35 +142,35 @@
 		}
 		return constantServiceTime(at)
 	}
-	m := newSimulation(20, 20, 3000, slowdown)
-	m.run(25 * time.Second)
-	assert.Assert(t, m.throughput(7*time.Second, 15*time.Second) >= 0.8*100)
-	assert.Assert(t, m.throughput(17*time.Second, 25*time.Second) >= 0.9*1000)
+	s := newSimulation(20, 20, 3000, slowdown)
+	s.run(25 * time.Second)
+	assert.Assert(t, s.throughput(7*time.Second, 15*time.Second) >= 0.8*100)
+	assert.Assert(t, s.throughput(17*time.Second, 25*time.Second) >= 0.9*1000)
 }
 
 func TestLimitRampsUpFromColdStart(t *testing.T) {
-	m := newSimulation(40, 40, 8000, constantServiceTime)
-	assert.Equal(t, m.controller.Limit(), 20)
-	m.run(2 * time.Second)
-	assert.Assert(t, m.controller.Limit() >= 36)
+	s := newSimulation(40, 40, 8000, constantServiceTime)
+	assert.Equal(t, s.controller.Limit(), 20)
+	s.run(2 * time.Second)
+	assert.Assert(t, s.controller.Limit() >= 36)
 }
 
 // Compares the calls that ran with the ideal choice of the same number of calls from the sorted list of all.
 func TestCutOffKeepsTheMostImportant(t *testing.T) {
-	m := newSimulation(20, 20, 8000, constantServiceTime)
-	m.run(5 * time.Second)
-	m.ran, m.shed = nil, nil
-	m.run(5 * time.Second)
-	all := append(append([]figpier.Rank(nil), m.ran...), m.shed...)
+	s := newSimulation(20, 20, 8000, constantServiceTime)
+	s.run(5 * time.Second)
+	s.ran, s.shed = nil, nil
+	s.run(5 * time.Second)
+	all := append(append([]figpier.Rank(nil), s.ran...), s.shed...)
 	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
-	idealCutOff := all[len(m.ran)]
+	idealCutOff := all[len(s.ran)]
 	misplaced := 0
-	for _, r := range m.ran {
+	for _, r := range s.ran {
 		if r >= idealCutOff {
 			misplaced++
 		}
 	}
-	assert.Assert(t, float64(misplaced) <= 0.15*float64(len(m.ran)), "%d of %d", misplaced, len(m.ran))
+	assert.Assert(t, float64(misplaced) <= 0.15*float64(len(s.ran)), "%d of %d", misplaced, len(s.ran))
 }
 
 // Compares the cut-off with the inverse of the load, which is the share of calls that the backend server can run, and checks
@@ -179,20 +179,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(8, 30).Draw(t, "slots")
 		load := rapid.Float64Range(2, 8).Draw(t, "load")
-		m := newSimulation(slots, slots, float64(slots)/constantServiceTime(0).Seconds()*load, constantServiceTime)
-		m.run(8 * time.Second)
+		s := newSimulation(slots, slots, float64(slots)/constantServiceTime(0).Seconds()*load, constantServiceTime)
+		s.run(8 * time.Second)
 		end := time.Unix(8, 0)
-		early, late := mean(m.cutOffs[2000:4000]), mean(m.cutOffs[4000:])
+		early, late := mean(s.cutOffs[2000:4000]), mean(s.cutOffs[4000:])
 		assert.Assert(t, early > 0.6/load && early < 1.8/load, "cut-off %.3f after 2 s at %.1f times the capacity", early, load)
 		assert.Assert(t, late > 0.7/load && late < 1.7/load, "cut-off %.3f after 4 s at %.1f times the capacity", late, load)
-		assert.Assert(t, !m.controller.SheddingSince(end).IsZero())
-		for range m.controller.Running() {
-			m.controller.Release(end, figpier.NewOutcome(figpier.OutcomeDone, constantServiceTime(0)))
+		assert.Assert(t, !s.controller.SheddingSince(end).IsZero())
+		for range s.controller.Running() {
+			s.controller.Release(end, figpier.NewOutcome(figpier.OutcomeDone, constantServiceTime(0)))
 		}
-		m.controller.Expire(end.Add(50 * time.Millisecond))
+		s.controller.Expire(end.Add(50 * time.Millisecond))
 		later := end.Add(2 * time.Second)
-		assert.Equal(t, m.controller.CutOff(later), figpier.MaxRank)
-		assert.Assert(t, m.controller.SheddingSince(later).IsZero())
+		assert.Equal(t, s.controller.CutOff(later), figpier.MaxRank)
+		assert.Assert(t, s.controller.SheddingSince(later).IsZero())
 	})
 }
 
--- a/internal/policy/bucket/bucket_test.go
+++ b/internal/policy/bucket/bucket_test.go
@@ -70,7 +70,7 @@
 }
 
 func newCluster(l figpier.Limit, nodes int, patience time.Duration) *cluster {
-	w := &cluster{
+	c := &cluster{
 		now:       epoch,
 		bucket:    New(Config{Limit: l, LeaseTime: testLeaseTime, ClockError: testClockError}, epoch),
 		delay:     func() time.Duration { return testStep },
@@ -79,10 +79,10 @@
 		reference: &exactBucket{rate: l.Rate(), burst: l.Burst(), level: l.Burst(), last: epoch},
 	}
 	for i := range nodes {
-		c := HolderConfig{ID: HolderID(fmt.Sprint(i)), Patience: patience, AskTimeout: 100 * time.Millisecond}
-		w.nodes = append(w.nodes, &node{holder: NewHolder(c, epoch)})
+		config := HolderConfig{ID: HolderID(fmt.Sprint(i)), Patience: patience, AskTimeout: 100 * time.Millisecond}
+		c.nodes = append(c.nodes, &node{holder: NewHolder(config, epoch)})
 	}
-	return w
+	return c
 }
 
 func (c *cluster) send(do func()) {
@@ -100,7 +100,7 @@
 func (c *cluster) arrive(n *node) {
 	n.waiting = append(n.waiting, c.now)
 	n.holder.SetWaiting(len(n.waiting))
-	c.serveWaiting(n, n.holder.Arrive(n.clock(c.now)))
+	c.serveWaiting(n, n.holder.AddRequest(n.clock(c.now)))
 }
 
 // serveWaiting serves waiting requests, the oldest first.
@@ -153,7 +153,7 @@
 	}
 	c.send(func() {
 		g := c.bucket.Ask(a, c.now)
-		c.send(func() { n.holder.Answered(g, n.clock(c.now)) })
+		c.send(func() { n.holder.HandleGrant(g, n.clock(c.now)) })
 	})
 }
 
@@ -164,28 +164,28 @@
 func TestSpentTokensStayWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLimit(rapid.Float64Range(1, 200).Draw(t, "rate"), float64(rapid.IntRange(1, 60).Draw(t, "burst")))
-		w := newCluster(l, rapid.IntRange(1, 6).Draw(t, "nodes"), 20*time.Millisecond)
+		c := newCluster(l, rapid.IntRange(1, 6).Draw(t, "nodes"), 20*time.Millisecond)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		lossRate := rapid.Float64Range(0, 0.5).Draw(t, "loss")
 		longest := rapid.IntRange(1, 1500).Draw(t, "longest delay in ms")
-		w.lost = func() bool { return r.Float64() < lossRate }
-		w.repeated = func() bool { return r.Float64() < 0.2 }
-		w.delay = func() time.Duration { return time.Duration(1+r.IntN(longest)) * time.Millisecond }
-		for _, n := range w.nodes {
+		c.lost = func() bool { return r.Float64() < lossRate }
+		c.repeated = func() bool { return r.Float64() < 0.2 }
+		c.delay = func() time.Duration { return time.Duration(1+r.IntN(longest)) * time.Millisecond }
+		for _, n := range c.nodes {
 			n.drift = (2*r.Float64() - 1) * maxDrift
 		}
 		load := rapid.Float64Range(0.2, 6).Draw(t, "load") * l.Rate() * testStep.Seconds()
 		for range 4000 {
-			for load > r.Float64() && len(w.nodes[0].waiting) < 100 {
-				w.arrive(w.nodes[r.IntN(len(w.nodes))])
+			for load > r.Float64() && len(c.nodes[0].waiting) < 100 {
+				c.arrive(c.nodes[r.IntN(len(c.nodes))])
 				if load < 1 {
 					break
 				}
 			}
-			w.step()
+			c.step()
 		}
-		assert.Equal(t, w.excess, 0, "of %d tokens", w.spent)
-		assert.Assert(t, float64(w.bucket.Out())+w.bucket.Level() <= l.Burst()+1e-6)
+		assert.Equal(t, c.excess, 0, "of %d tokens", c.spent)
+		assert.Assert(t, float64(c.bucket.Out())+c.bucket.Level() <= l.Burst()+1e-6)
 	})
 }
 
@@ -193,21 +193,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		before := newLimit(100, 60)
 		after := newLimit(rapid.Float64Range(1, 90).Draw(t, "rate"), float64(rapid.IntRange(1, 50).Draw(t, "burst")))
-		w := newCluster(before, 4, 20*time.Millisecond)
+		c := newCluster(before, 4, 20*time.Millisecond)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-		w.lost = func() bool { return r.Float64() < 0.2 }
+		c.lost = func() bool { return r.Float64() < 0.2 }
 		change := rapid.IntRange(10, 1000).Draw(t, "change")
 		for i := range 4000 {
 			if i == change {
-				w.bucket.SetLimit(after, w.now)
+				c.bucket.SetLimit(after, c.now)
 			}
 			if i == change+int((testLeaseTime+testClockError)/testStep) {
-				w.reference = &exactBucket{rate: after.Rate(), burst: after.Burst(), level: after.Burst(), last: w.now}
+				c.reference = &exactBucket{rate: after.Rate(), burst: after.Burst(), level: after.Burst(), last: c.now}
 			}
-			w.arrive(w.nodes[r.IntN(len(w.nodes))])
-			w.step()
+			c.arrive(c.nodes[r.IntN(len(c.nodes))])
+			c.step()
 		}
-		assert.Equal(t, w.excess, 0)
+		assert.Equal(t, c.excess, 0)
 	})
 }
 
@@ -234,11 +234,11 @@
 func TestHolderLeaseExpiresFromTimeOfAsk(t *testing.T) {
 	h := NewHolder(HolderConfig{ID: "n", AskTimeout: testLeaseTime}, epoch)
 	h.SetWaiting(1)
-	assert.Equal(t, h.Arrive(epoch), VerdictWait)
+	assert.Equal(t, h.AddRequest(epoch), VerdictWait)
 	a, due, _ := h.Next(epoch)
 	assert.Assert(t, due)
 	late := epoch.Add(testLeaseTime - testStep)
-	h.Answered(NewGrant(GrantConfig{Sequence: a.Sequence, Tokens: 9, LeaseTime: testLeaseTime}), late)
+	h.HandleGrant(NewGrant(GrantConfig{Sequence: a.Sequence, Tokens: 9, LeaseTime: testLeaseTime}), late)
 	assert.Equal(t, h.Take(late), VerdictSpent)
 	assert.Equal(t, h.Take(epoch.Add(testLeaseTime)), VerdictWait)
 }
@@ -258,7 +258,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newCluster(newLimit(tt.rate, tt.burst), tt.nodes, 50*time.Millisecond)
+			c := newCluster(newLimit(tt.rate, tt.burst), tt.nodes, 50*time.Millisecond)
 			r := rand.New(rand.NewPCG(7, 7))
 			reference := &exactBucket{rate: tt.rate, burst: tt.burst, level: tt.burst, last: epoch}
 			arrivals, referenceRefused := 0, 0
@@ -268,17 +268,17 @@
 						continue
 					}
 					arrivals++
-					if !reference.spend(w.now) {
+					if !reference.spend(c.now) {
 						referenceRefused++
 						continue
 					}
-					w.arrive(w.nodes[r.IntN(len(w.nodes))])
+					c.arrive(c.nodes[r.IntN(len(c.nodes))])
 				}
-				w.step()
+				c.step()
 			}
-			t.Logf("%d arrivals, refused by the exact bucket %d, wrongly refused %d", arrivals, referenceRefused, w.refused)
-			assert.Assert(t, float64(w.refused) <= 0.001*float64(arrivals), "%d of %d", w.refused, arrivals)
-			assert.Equal(t, w.excess, 0)
+			t.Logf("%d arrivals, refused by the exact bucket %d, wrongly refused %d", arrivals, referenceRefused, c.refused)
+			assert.Assert(t, float64(c.refused) <= 0.001*float64(arrivals), "%d of %d", c.refused, arrivals)
+			assert.Equal(t, c.excess, 0)
 		})
 	}
 }
--- a/internal/policy/bucket/holder.go
+++ b/internal/policy/bucket/holder.go
@@ -40,7 +40,7 @@
 }
 
 // Holder spends leased tokens at one node. It is not safe for concurrent use, and sends nothing itself: its owner calls
-// Next for requests that are due, and Answered or Failed with their result.
+// Next for requests that are due, and HandleGrant or HandleFailure with their result.
 type Holder struct {
 	config        HolderConfig
 	leases        []*heldLease
@@ -73,8 +73,8 @@
 	return &Holder{config: c, demandUpdated: now}
 }
 
-// Arrive adds a request to the demand and then tries to spend a token for it.
-func (h *Holder) Arrive(now time.Time) Verdict {
+// AddRequest adds a request to the demand and then tries to spend a token for it.
+func (h *Holder) AddRequest(now time.Time) Verdict {
 	h.decayDemand(now)
 	h.demand++
 	return h.Take(now)
@@ -157,8 +157,8 @@
 	return a
 }
 
-// Answered applies the bucket's answer, unless a later request was sent in the meantime.
-func (h *Holder) Answered(g Grant, now time.Time) {
+// HandleGrant applies the bucket's answer, unless a later request was sent in the meantime.
+func (h *Holder) HandleGrant(g Grant, now time.Time) {
 	if g.Sequence() != h.sequence || !h.inFlight {
 		return
 	}
@@ -183,8 +183,8 @@
 	}
 }
 
-// Failed records that a request failed, and delays the next one until retryAt. It is ignored after a later request.
-func (h *Holder) Failed(sequence uint64, retryAt time.Time) {
+// HandleFailure records that a request failed, and delays the next one until retryAt. It is ignored after a later request.
+func (h *Holder) HandleFailure(sequence uint64, retryAt time.Time) {
 	if sequence != h.sequence {
 		return
 	}
--- a/internal/traffic/limiter/doc.go
+++ b/internal/traffic/limiter/doc.go
@@ -1,2 +1,3 @@
-// Package limiter holds customers to their rate and burst over all nodes, by tokens leased from the primaries of shards.
+// Package limiter enforces a customer's rate and burst at a service over all nodes, with tokens leased from the primaries of
+// shards.
 package limiter
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// askTime bounds one request for tokens.
-	askTime = 500 * time.Millisecond
-	// overtakeTime is when an unanswered request for tokens is followed by another.
-	overtakeTime = 60 * time.Millisecond
-	// retryTime is the pause after a request that failed.
-	retryTime = 20 * time.Millisecond
-	// maxIdleHolders is the number of holders above which idle ones are dropped.
-	maxIdleHolders = 256
+	// askTimeout bounds one request for tokens.
+	askTimeout = 500 * time.Millisecond
+	// resendTime is how long a request for tokens may stay unanswered before another is sent.
+	resendTime = 60 * time.Millisecond
+	// retryPause is the pause after a failed request for tokens.
+	retryPause = 20 * time.Millisecond
+	// maxSources is the number of token sources from which idle ones are removed before another is added.
+	maxSources = 256
 )
 
-// Config builds a Limiter.
+// Config configures a Limiter.
 type Config struct {
-	// Instance is the node's name.
+	// Instance is the identifier of the node.
 	Instance figpier.InstanceID
-	// Patience is how long a request waits for its token.
+	// Patience is how long a request may wait for its token.
 	Patience time.Duration
 }
 
-// Limiter implements figpier.Limiter.
+// Limiter implements figpier.Limiter. It is safe for concurrent use.
 type Limiter struct {
 	config    Config
 	id        bucket.HolderID
@@ -38,24 +38,25 @@
 	view      figpier.ConfigurationView
 	messenger figpier.Messenger
 	locator   figpier.ShardLocator
-	work      context.Context
+	runCtx    context.Context // from Start; bounds the renewal of tokens
 
-	mu    sync.Mutex
-	tills map[tillName]*till
+	mu      sync.Mutex // guards sources and their users
+	sources map[sourceKey]*tokenSource
 }
 
-// tillName names the tokens of a customer at a service.
-type tillName struct {
+// sourceKey identifies the tokens of a customer at a service.
+type sourceKey struct {
 	customer figpier.CustomerID
 	service  figpier.UpstreamService
 }
 
-// New returns a limiter without tokens, under a name that no other process ever has.
+// New returns a limiter without tokens. Its holder ID is unique to this process, because the leases of an earlier process on
+// the same instance are not its own.
 func New(c Config) *Limiter {
 	return &Limiter{
-		config: c,
-		id:     bucket.HolderID(string(c.Instance) + "/" + rand.Text()),
-		tills:  map[tillName]*till{},
+		config:  c,
+		id:      bucket.HolderID(string(c.Instance) + "/" + rand.Text()),
+		sources: map[sourceKey]*tokenSource{},
 	}
 }
 
@@ -64,7 +65,7 @@
 
 // Start implements figpier.Service.
 func (l *Limiter) Start(ctx context.Context, d figpier.Directory) (err error) {
-	l.work = ctx
+	l.runCtx = ctx
 	l.clock = d.Clock()
 	if l.view, err = figpier.FindView(d); err != nil {
 		return err
@@ -84,47 +85,48 @@
 	if _, ok := l.view.Configuration().ProfileOf(s); !ok {
 		return figpier.Refuse(figpier.RefusalNoProfile)
 	}
-	return l.till(tillName{customer: c, service: s}).take(ctx)
+	return l.acquireSource(sourceKey{customer: c, service: s}).take(ctx)
 }
 
-func (l *Limiter) till(n tillName) *till {
+// acquireSource returns the token source of a key and counts its caller as a user until releaseSource.
+func (l *Limiter) acquireSource(k sourceKey) *tokenSource {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t, ok := l.tills[n]; ok {
-		t.users++
-		return t
+	if s, ok := l.sources[k]; ok {
+		s.users++
+		return s
 	}
 	now := l.clock.Now()
-	if len(l.tills) >= maxIdleHolders {
-		l.dropIdle(now)
+	if len(l.sources) >= maxSources {
+		l.removeIdle(now)
 	}
-	t := &till{
+	s := &tokenSource{
 		limiter: l,
-		name:    n,
-		shard:   uint32(shard.OfLimit(n.customer, n.service)),
+		key:     k,
+		shard:   uint32(shard.OfLimit(k.customer, k.service)),
 		holder: bucket.NewHolder(bucket.HolderConfig{
 			ID:         l.id,
 			Patience:   l.config.Patience,
-			AskTimeout: overtakeTime,
+			AskTimeout: resendTime,
 		}, now),
-		kick:  make(chan struct{}, 1),
+		wake:  make(chan struct{}, 1),
 		users: 1,
 	}
-	l.tills[n] = t
-	return t
+	l.sources[k] = s
+	return s
 }
 
-// dropIdle forgets the tills that hold nothing and that nobody uses.
-func (l *Limiter) dropIdle(now time.Time) {
-	for n, t := range l.tills {
-		if t.users == 0 && t.idle(now) {
-			delete(l.tills, n)
+// removeIdle removes the token sources that have no users and no leases. l.mu must be held.
+func (l *Limiter) removeIdle(now time.Time) {
+	for k, s := range l.sources {
+		if s.users == 0 && s.idle(now) {
+			delete(l.sources, k)
 		}
 	}
 }
 
-func (l *Limiter) done(t *till) {
+func (l *Limiter) releaseSource(s *tokenSource) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.users--
+	s.users--
 }
--- a/internal/traffic/limiter/source.go
+++ b/internal/traffic/limiter/source.go
@@ -11,19 +11,19 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// till spends and renews the tokens of one customer at one service.
-type till struct {
+// tokenSource spends and renews the tokens of one customer at one service.
+type tokenSource struct {
 	limiter *Limiter
-	name    tillName
+	key     sourceKey
 	shard   uint32
-	// users is guarded by the limiter's lock.
+	// users is the number of requests that use the source, guarded by limiter.mu.
 	users int
-	kick  chan struct{}
+	wake  chan struct{}
 
-	mu      sync.Mutex
-	holder  *bucket.Holder
-	waiters []*waiter
-	running bool
+	mu       sync.Mutex // guards the fields below
+	holder   *bucket.Holder
+	waiters  []*waiter
+	renewing bool // renewLoop runs
 }
 
 // waiter is a request that waits for a token.
@@ -32,166 +32,172 @@
 	verdict chan bucket.Verdict
 }
 
-// take spends a token, waiting for it as long as the limiter's patience lasts.
-func (t *till) take(ctx context.Context) error {
-	defer t.limiter.done(t)
-	v, w := t.arrive()
+// take spends a token, and waits for one for at most Config.Patience. It returns a *figpier.Refusal if it got none.
+func (s *tokenSource) take(ctx context.Context) error {
+	defer s.limiter.releaseSource(s)
+	v, w := s.spendOrQueue()
 	if w == nil {
-		return answer(v)
+		return verdictError(v)
 	}
-	over := make(chan struct{})
-	cancel := t.limiter.clock.AfterFunc(t.limiter.config.Patience, func() { close(over) })
+	timeout := make(chan struct{})
+	cancel := s.limiter.clock.AfterFunc(s.limiter.config.Patience, func() { close(timeout) })
 	defer cancel()
 	select {
 	case v := <-w.verdict:
-		return answer(v)
-	case <-over:
+		return verdictError(v)
+	case <-timeout:
 	case <-ctx.Done():
 	}
-	return t.giveUp(w)
+	return s.stopWaiting(w)
 }
 
-func answer(v bucket.Verdict) error {
+// verdictError returns the refusal for a verdict other than VerdictSpent.
+func verdictError(v bucket.Verdict) error {
 	if v == bucket.VerdictSpent {
 		return nil
 	}
 	return figpier.Refuse(figpier.RefusalOverRate)
 }
 
-// arrive spends a token at once, or returns a waiter.
-func (t *till) arrive() (bucket.Verdict, *waiter) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.limiter.clock.Now()
-	v := t.holder.Arrive(now)
+// spendOrQueue spends a token, or returns a waiter if it has to wait for one.
+func (s *tokenSource) spendOrQueue() (bucket.Verdict, *waiter) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.limiter.clock.Now()
+	v := s.holder.AddRequest(now)
 	var w *waiter
 	if v == bucket.VerdictWait {
 		w = &waiter{arrived: now, verdict: make(chan bucket.Verdict, 1)}
-		t.waiters = append(t.waiters, w)
-		t.holder.SetWaiting(len(t.waiters))
+		s.waiters = append(s.waiters, w)
+		s.holder.SetWaiting(len(s.waiters))
 	}
-	t.run()
+	s.startRenewal()
 	return v, w
 }
 
-// run makes sure that tokens are renewed and reported.
-func (t *till) run() {
-	if !t.running {
-		t.running = true
-		go t.renew(t.limiter.work)
+// startRenewal starts renewLoop, or wakes it if it is running. s.mu must be held.
+func (s *tokenSource) startRenewal() {
+	if !s.renewing {
+		s.renewing = true
+		go s.renewLoop(s.limiter.runCtx)
 		return
 	}
 	select {
-	case t.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// giveUp ends a wait; the customer is over its rate only if the bucket itself had no token meanwhile.
-func (t *till) giveUp(w *waiter) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for i, o := range t.waiters {
-		if o == w {
-			t.waiters = append(t.waiters[:i], t.waiters[i+1:]...)
-			t.holder.SetWaiting(len(t.waiters))
-			if t.holder.EmptySince(w.arrived) {
+// stopWaiting removes a waiter and returns its refusal. The customer is over its rate only if the bucket reported that it
+// was empty during the wait; otherwise it is unknown whether it is. A verdict that came in the meantime takes precedence.
+func (s *tokenSource) stopWaiting(w *waiter) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, other := range s.waiters {
+		if other == w {
+			s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
+			s.holder.SetWaiting(len(s.waiters))
+			if s.holder.EmptySince(w.arrived) {
 				return figpier.Refuse(figpier.RefusalOverRate)
 			}
 			return figpier.Refuse(figpier.RefusalRateUnknown)
 		}
 	}
-	return answer(<-w.verdict)
+	return verdictError(<-w.verdict)
 }
 
-// serve gives waiting requests what the holder has, the oldest first.
-func (t *till) serve(now time.Time) {
-	for len(t.waiters) > 0 {
-		v := t.holder.Take(now)
+// serveWaiters gives tokens or refusals to the waiters, the oldest first, until it runs out of tokens. s.mu must be held.
+func (s *tokenSource) serveWaiters(now time.Time) {
+	for len(s.waiters) > 0 {
+		v := s.holder.Take(now)
 		if v == bucket.VerdictWait {
 			return
 		}
-		t.waiters[0].verdict <- v
-		t.waiters = t.waiters[1:]
-		t.holder.SetWaiting(len(t.waiters))
+		s.waiters[0].verdict <- v
+		s.waiters = s.waiters[1:]
+		s.holder.SetWaiting(len(s.waiters))
 	}
 }
 
-// renew asks for tokens and reports spent ones whenever the holder calls for it, and ends when it does not.
-func (t *till) renew(ctx context.Context) {
+// renewLoop sends the holder's requests when they are due, and ends when none will be due without another call.
+func (s *tokenSource) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		a, due, later, more := t.next()
+		a, due, nextCheck, more := s.nextAsk()
 		switch {
 		case !more:
 			return
 		case due:
-			go t.ask(ctx, a)
+			go s.askForTokens(ctx, a)
 		default:
-			t.wait(ctx, later)
+			s.waitUntil(ctx, nextCheck)
 		}
 	}
 }
 
-func (t *till) next() (a bucket.AskConfig, due bool, later time.Time, more bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	a, due, later = t.holder.Next(t.limiter.clock.Now())
-	if !due && later.IsZero() {
-		t.running = false
-		return a, false, later, false
+// nextAsk returns the request that is due now or when to check again; more is false when the loop ends.
+func (s *tokenSource) nextAsk() (a bucket.AskConfig, due bool, nextCheck time.Time, more bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a, due, nextCheck = s.holder.Next(s.limiter.clock.Now())
+	if !due && nextCheck.IsZero() {
+		s.renewing = false
+		return a, false, nextCheck, false
 	}
-	return a, due, later, true
+	return a, due, nextCheck, true
 }
 
-func (t *till) wait(ctx context.Context, until time.Time) {
-	over := make(chan struct{})
-	cancel := t.limiter.clock.AfterFunc(until.Sub(t.limiter.clock.Now()), func() { close(over) })
+// waitUntil waits until a time, or until startRenewal wakes the loop.
+func (s *tokenSource) waitUntil(ctx context.Context, until time.Time) {
+	elapsed := make(chan struct{})
+	cancel := s.limiter.clock.AfterFunc(until.Sub(s.limiter.clock.Now()), func() { close(elapsed) })
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-t.kick:
-	case <-over:
+	case <-s.wake:
+	case <-elapsed:
 	}
 }
 
-// ask sends a request; when it is overtaken by another, its answer comes too late and is ignored.
-func (t *till) ask(ctx context.Context, a bucket.AskConfig) {
-	g, ok := t.send(ctx, a)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.limiter.clock.Now()
+// askForTokens sends a request and serves waiters with its answer. The holder ignores the answer if a later request was sent.
+func (s *tokenSource) askForTokens(ctx context.Context, a bucket.AskConfig) {
+	g, ok := s.askPrimary(ctx, a)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.limiter.clock.Now()
 	if ok {
-		t.holder.Answered(g, now)
+		s.holder.HandleGrant(g, now)
 	} else {
-		t.holder.Failed(a.Sequence, now.Add(retryTime))
+		s.holder.HandleFailure(a.Sequence, now.Add(retryPause))
 	}
-	t.serve(now)
-	t.run()
+	s.serveWaiters(now)
+	s.startRenewal()
 }
 
-// send asks the primary of the bucket's shard.
-func (t *till) send(ctx context.Context, a bucket.AskConfig) (bucket.Grant, bool) {
-	address, err := t.limiter.locator.Primary(ctx, t.shard)
+// askPrimary sends a request to the primary of the shard. It returns false if that failed or the instance is not the acting
+// primary, which the locator then forgets.
+func (s *tokenSource) askPrimary(ctx context.Context, a bucket.AskConfig) (bucket.Grant, bool) {
+	address, err := s.limiter.locator.Primary(ctx, s.shard)
 	if err != nil {
 		return bucket.Grant{}, false
 	}
 	m := codec.FromTokenAsk(a)
-	m.Shard = int(t.shard)
-	m.Customer = string(t.name.customer)
-	m.Service = string(t.name.service)
-	ask, cancel := context.WithTimeout(ctx, askTime)
+	m.Shard = int(s.shard)
+	m.Customer = string(s.key.customer)
+	m.Service = string(s.key.service)
+	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var g message.TokenGrant
-	err = t.limiter.messenger.Ask(ask, address, figpier.MethodTokens, m, &g)
+	err = s.limiter.messenger.Ask(askCtx, address, figpier.MethodTokens, m, &g)
 	if err != nil || !g.Acting {
-		t.limiter.locator.Forget(t.shard, address)
+		s.limiter.locator.Forget(s.shard, address)
 		return bucket.Grant{}, false
 	}
 	return codec.ToGrant(g), true
 }
 
-func (t *till) idle(now time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return !t.running && len(t.waiters) == 0 && t.holder.Idle(now)
+// idle reports whether the source has neither leases nor waiters. The limiter's lock is held.
+func (s *tokenSource) idle(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.renewing && len(s.waiters) == 0 && s.holder.Idle(now)
 }
