--- a/internal/baseline/fixed/admission.go
+++ b/internal/baseline/fixed/admission.go
@@ -7,13 +7,13 @@
 	"github.com/figpier/figpier"
 )
 
-// Admission implements figpier.Admission by a fixed number of slots.
+// Admission implements figpier.Admission with a fixed number of slots and no queue limit.
 type Admission struct {
 	mu    sync.Mutex
 	slots chan struct{}
 }
 
-// NewAdmission returns an admission with a number of slots.
+// NewAdmission returns an admission with the given number of slots until Resize changes it.
 func NewAdmission(slots int) *Admission { return &Admission{slots: make(chan struct{}, slots)} }
 
 // Name implements figpier.Service.
@@ -28,7 +28,7 @@
 // CutOff implements figpier.Admission.
 func (a *Admission) CutOff() figpier.Rank { return figpier.MaxRank }
 
-// Resize implements figpier.Admission.
+// Resize implements figpier.Admission. Calls that run keep their slots of the previous size; 0 is ignored.
 func (a *Admission) Resize(slots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,6 +50,7 @@
 	}
 }
 
+// ticket implements figpier.Ticket by the channel that the call's slot was taken from.
 type ticket chan struct{}
 
 // Release implements figpier.Ticket.
--- a/internal/baseline/fixed/doc.go
+++ b/internal/baseline/fixed/doc.go
@@ -1,2 +1,3 @@
-// Package fixed holds plain policies to measure against: a fixed concurrency limit, random routing and plain retries, each node on its own.
+// Package fixed implements simple policies as a baseline for measurements: a fixed concurrency limit, random routing, and
+// limits and retries that each node decides alone.
 package fixed
--- a/internal/baseline/fixed/limits.go
+++ b/internal/baseline/fixed/limits.go
@@ -8,7 +8,7 @@
 	"github.com/figpier/figpier"
 )
 
-// Limiter implements figpier.Limiter by a token bucket on each node.
+// Limiter implements figpier.Limiter with a separate token bucket on each node.
 type Limiter struct {
 	clock figpier.Clock
 	view  figpier.ConfigurationView
@@ -23,8 +23,8 @@
 }
 
 type bucket struct {
-	level  float64
-	filled time.Time
+	tokens   float64
+	refilled time.Time
 }
 
 // NewLimiter returns a limiter that has not started.
@@ -56,22 +56,22 @@
 	k := bucketKey{customer: c, service: s}
 	b, ok := l.buckets[k]
 	if !ok {
-		b = &bucket{level: limit.Burst(), filled: now}
+		b = &bucket{tokens: limit.Burst(), refilled: now}
 		l.buckets[k] = b
 	}
-	b.level = min(limit.Burst(), b.level+limit.Rate()*now.Sub(b.filled).Seconds())
-	b.filled = now
-	if b.level < 1 {
+	b.tokens = min(limit.Burst(), b.tokens+limit.Rate()*now.Sub(b.refilled).Seconds())
+	b.refilled = now
+	if b.tokens < 1 {
 		return figpier.Refuse(figpier.RefusalOverRate)
 	}
-	b.level--
+	b.tokens--
 	return nil
 }
 
-// Claims implements figpier.Claims by a table on each node.
+// Claims implements figpier.Claims with a separate table on each node. Claims never expire.
 type Claims struct {
-	mu      sync.Mutex
-	claimed map[claimKey]figpier.RefusalReason
+	mu       sync.Mutex
+	refusals map[claimKey]figpier.RefusalReason
 }
 
 type claimKey struct {
@@ -79,8 +79,8 @@
 	key figpier.IdempotencyKey
 }
 
-// NewClaims returns an empty table.
-func NewClaims() *Claims { return &Claims{claimed: map[claimKey]figpier.RefusalReason{}} }
+// NewClaims returns claims without entries.
+func NewClaims() *Claims { return &Claims{refusals: map[claimKey]figpier.RefusalReason{}} }
 
 // Name implements figpier.Service.
 func (c *Claims) Name() figpier.ServiceName { return figpier.ClaimService }
@@ -96,10 +96,10 @@
 	k := claimKey{bucketKey: bucketKey{customer: call.Customer(), service: call.Service()}, key: call.IdempotencyKey()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if reason, taken := c.claimed[k]; taken {
+	if reason, claimed := c.refusals[k]; claimed {
 		return nil, figpier.Refuse(reason)
 	}
-	c.claimed[k] = figpier.RefusalRunning
+	c.refusals[k] = figpier.RefusalRunning
 	return &claim{claims: c, key: k}, nil
 }
 
@@ -114,10 +114,10 @@
 	defer c.claims.mu.Unlock()
 	switch o.Kind() {
 	case figpier.OutcomeNotRun, figpier.OutcomeOverloaded, figpier.OutcomeUnreached:
-		delete(c.claims.claimed, c.key)
+		delete(c.claims.refusals, c.key)
 	case figpier.OutcomeDone:
-		c.claims.claimed[c.key] = figpier.RefusalAlreadyRun
+		c.claims.refusals[c.key] = figpier.RefusalAlreadyRun
 	default:
-		c.claims.claimed[c.key] = figpier.RefusalClaimUnknown
+		c.claims.refusals[c.key] = figpier.RefusalClaimUnknown
 	}
 }
--- a/internal/baseline/fixed/plain.go
+++ b/internal/baseline/fixed/plain.go
@@ -6,21 +6,21 @@
 	"github.com/figpier/figpier"
 )
 
-// plainRetries is the extra attempts that each call may make at each hop.
-const plainRetries = 2
+// retriesPerHop is the number of retries that each call may make at each hop.
+const retriesPerHop = 2
 
-// PlainJudge implements figpier.RetryJudge with extra attempts at each hop, without a budget for the whole tree.
+// PlainJudge implements figpier.RetryJudge with a number of retries at each hop and no budget for the tree of calls.
 type PlainJudge struct {
 	Judge
 }
 
-// NewPlainJudge returns a judge.
+// NewPlainJudge returns a judge for retries without a budget.
 func NewPlainJudge() *PlainJudge { return &PlainJudge{} }
 
-// Portion implements figpier.RetryJudge by extra attempts that no budget is charged with.
-func (j *PlainJudge) Portion(figpier.LiveCall) int { return plainRetries }
+// Portion implements figpier.RetryJudge. It takes nothing from the call's budget.
+func (j *PlainJudge) Portion(figpier.LiveCall) int { return retriesPerHop }
 
-// OpenAdmission implements figpier.Admission by admitting every call.
+// OpenAdmission implements figpier.Admission and admits every call.
 type OpenAdmission struct {
 	Admission
 }
--- a/internal/baseline/fixed/routing.go
+++ b/internal/baseline/fixed/routing.go
@@ -9,7 +9,7 @@
 	"github.com/figpier/figpier"
 )
 
-// Router implements figpier.Router by random choice.
+// Router implements figpier.Router with a random choice among the members that are not draining.
 type Router struct {
 	view figpier.ConfigurationView
 }
@@ -52,10 +52,10 @@
 // CutOff implements figpier.Router.
 func (r *Router) CutOff(figpier.UpstreamService) figpier.Rank { return figpier.MaxRank }
 
-// Judge implements figpier.RetryJudge by the tree budget alone.
+// Judge implements figpier.RetryJudge with the budget of the tree of calls as the only limit.
 type Judge struct{}
 
-// NewJudge returns a judge.
+// NewJudge returns a judge for retries within the budget.
 func NewJudge() *Judge { return &Judge{} }
 
 // Name implements figpier.Service.
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -10,39 +10,39 @@
 	"github.com/figpier/figpier/internal/policy/spell"
 )
 
-// Bounds of what the admission explains.
+// Bounds of the refusals that Bindings reports.
 const (
-	spellGap  = 2 * time.Second
-	mostSpell = 1000
+	bindingGap  = 2 * time.Second // time without a refusal after which a limit no longer binds
+	maxBindings = 1000            // pairs of a customer and a limit that are kept
 )
 
-// retryAfterOverload is when a caller may try again after a refusal for overload.
+// retryAfterOverload is the Retry-After of a refusal for overload.
 const retryAfterOverload = time.Second
 
-// Config builds an Admission.
+// Config configures an Admission.
 type Config struct {
-	// Service is the service that the backend server beside the node runs.
+	// Service is the service of the backend server beside the node.
 	Service figpier.UpstreamService
-	// Stated says that the backend server runs as many calls at once as it announced, so that the limit is not learnt.
+	// Stated makes the announced slots the limit; otherwise the limit is derived from service times.
 	Stated bool
 }
 
-// Admission implements figpier.Admission.
+// Admission implements figpier.Admission and figpier.Explainer. It is safe for concurrent use.
 type Admission struct {
 	config  Config
 	clock   figpier.Clock
 	cutOffs figpier.CutOffs
 	ranker  figpier.Ranker
 
-	mu      sync.Mutex
-	policy  *policy.Controller
-	last    policy.CallID
-	waiters map[policy.CallID]chan policy.Verdict
-	shed    *spell.Table[cause]
+	mu         sync.Mutex // guards the fields below
+	controller *policy.Controller
+	lastID     policy.CallID
+	verdicts   map[policy.CallID]chan policy.Verdict
+	refusals   *spell.Table[refusalCause]
 }
 
-// cause is whose calls are held back, and by which limit.
-type cause struct {
+// refusalCause identifies refusals by the customer of the calls and the limit that refused them.
+type refusalCause struct {
 	customer figpier.CustomerID
 	kind     figpier.LimitKind
 }
@@ -50,10 +50,10 @@
 // New returns an admission that has not started.
 func New(c Config) *Admission {
 	return &Admission{
-		config:  c,
-		policy:  policy.New(policy.Config{FixedLimit: c.Stated}),
-		waiters: map[policy.CallID]chan policy.Verdict{},
-		shed:    spell.New[cause](spell.Config{Gap: spellGap, Most: mostSpell}),
+		config:     c,
+		controller: policy.New(policy.Config{FixedLimit: c.Stated}),
+		verdicts:   map[policy.CallID]chan policy.Verdict{},
+		refusals:   spell.New[refusalCause](spell.Config{Gap: bindingGap, Most: maxBindings}),
 	}
 }
 
@@ -73,14 +73,15 @@
 	if err != nil {
 		return err
 	}
-	counters.Gauge("admission_limit", a.gauge(a.policy.Limit))
-	counters.Gauge("admission_slots", a.gauge(a.policy.Slots))
-	counters.Gauge("admission_running", a.gauge(a.policy.Running))
-	counters.Gauge("admission_waiting", a.gauge(a.policy.Waiting))
+	counters.Gauge("admission_limit", a.lockedGauge(a.controller.Limit))
+	counters.Gauge("admission_slots", a.lockedGauge(a.controller.Slots))
+	counters.Gauge("admission_running", a.lockedGauge(a.controller.Running))
+	counters.Gauge("admission_waiting", a.lockedGauge(a.controller.Waiting))
 	return nil
 }
 
-func (a *Admission) gauge(f func() int) func() float64 {
+// lockedGauge returns f as a gauge that holds the lock.
+func (a *Admission) lockedGauge(f func() int) func() float64 {
 	return func() float64 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -96,7 +97,7 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.policy.CutOff(now)
+	return a.controller.CutOff(now)
 }
 
 // Resize implements figpier.Admission.
@@ -104,109 +105,111 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.apply(a.policy.SetSlots(now, slots))
+	a.deliver(a.controller.SetSlots(now, slots))
 }
 
 // Admit implements figpier.Admission.
 func (a *Admission) Admit(ctx context.Context, c *figpier.Call) (figpier.Ticket, error) {
 	if c.Rank().Refused(a.cutOffs.CutOff(c)) {
-		a.mark(c, figpier.LimitCutOff)
-		return nil, refusal(figpier.RefusalCutOff)
+		a.recordRefusal(c, figpier.LimitCutOff)
+		return nil, retryableRefusal(figpier.RefusalCutOff)
 	}
-	verdict, w := a.offer(c)
+	verdict, w := a.submit(c)
 	if verdict == policy.Wait {
-		stop := a.clock.AfterFunc(w.longest, a.expire)
+		stop := a.clock.AfterFunc(w.maxWait, a.expire)
 		defer stop()
 		select {
-		case verdict = <-w.decided:
+		case verdict = <-w.verdict:
 		case <-ctx.Done():
-			return nil, a.giveUp(w)
+			return nil, a.stopWaiting(w)
 		}
 	}
 	if verdict == policy.Run {
 		return &ticket{admission: a, call: c}, nil
 	}
-	return nil, a.refuse(c, verdict)
+	return nil, a.refusalFor(c, verdict)
 }
 
-// waiter is a call in the queue.
+// waiter is a call that waits for its verdict, for at most maxWait.
 type waiter struct {
 	id      policy.CallID
-	longest time.Duration
-	decided chan policy.Verdict
+	maxWait time.Duration
+	verdict chan policy.Verdict
 }
 
-// offer asks for a slot, and returns the waiter when the call waits.
-func (a *Admission) offer(c *figpier.Call) (policy.Verdict, waiter) {
+// submit submits a call to the controller. The returned waiter has a channel only if the verdict is Wait.
+func (a *Admission) submit(c *figpier.Call) (policy.Verdict, waiter) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last++
-	w := waiter{id: a.last, longest: a.policy.QueueTime()}
-	verdict, effects := a.policy.Submit(now, w.id, c.Rank(), c.Deadline())
-	a.apply(effects)
+	a.lastID++
+	w := waiter{id: a.lastID, maxWait: a.controller.QueueTime()}
+	verdict, decisions := a.controller.Submit(now, w.id, c.Rank(), c.Deadline())
+	a.deliver(decisions)
 	if verdict == policy.Wait {
-		w.decided = make(chan policy.Verdict, 1)
-		a.waiters[w.id] = w.decided
+		w.verdict = make(chan policy.Verdict, 1)
+		a.verdicts[w.id] = w.verdict
 	}
 	return verdict, w
 }
 
-// apply tells waiting calls what was decided; the mutex is held.
-func (a *Admission) apply(effects []policy.Decision) {
-	for _, e := range effects {
-		a.waiters[e.ID()] <- e.Verdict()
-		delete(a.waiters, e.ID())
+// deliver sends decisions to the calls that wait for them. a.mu must be held.
+func (a *Admission) deliver(decisions []policy.Decision) {
+	for _, d := range decisions {
+		a.verdicts[d.ID()] <- d.Verdict()
+		delete(a.verdicts, d.ID())
 	}
 }
 
+// expire sheds the calls that have waited too long.
 func (a *Admission) expire() {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.apply(a.policy.Expire(now))
+	a.deliver(a.controller.Expire(now))
 }
 
-// giveUp takes a call out of the queue whose caller waits no longer.
-func (a *Admission) giveUp(w waiter) error {
+// stopWaiting removes a call whose context ended, and frees the slot if it was given one in the meantime.
+func (a *Admission) stopWaiting(w waiter) error {
 	a.mu.Lock()
-	waiting := a.policy.Cancel(w.id)
-	delete(a.waiters, w.id)
+	waiting := a.controller.Cancel(w.id)
+	delete(a.verdicts, w.id)
 	a.mu.Unlock()
-	if !waiting && <-w.decided == policy.Run {
+	if !waiting && <-w.verdict == policy.Run {
 		a.release(figpier.NewOutcome(figpier.OutcomeNotRun, 0))
 	}
 	return figpier.Refuse(figpier.RefusalDeadline)
 }
 
-func (a *Admission) refuse(c *figpier.Call, v policy.Verdict) *figpier.Refusal {
+// refusalFor returns the refusal for a verdict other than Run, and records it if the limit on concurrent calls is the cause.
+func (a *Admission) refusalFor(c *figpier.Call, v policy.Verdict) *figpier.Refusal {
 	switch v {
 	case policy.DeadlineMissed:
 		return figpier.Refuse(figpier.RefusalDeadline)
 	case policy.NoBackend:
 		return figpier.Refuse(figpier.RefusalNoBackend)
 	default:
-		a.mark(c, figpier.LimitConcurrency)
-		return refusal(figpier.RefusalOverload)
+		a.recordRefusal(c, figpier.LimitConcurrency)
+		return retryableRefusal(figpier.RefusalOverload)
 	}
 }
 
-func refusal(r figpier.RefusalReason) *figpier.Refusal {
+func retryableRefusal(r figpier.RefusalReason) *figpier.Refusal {
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r, RetryAfter: retryAfterOverload})
 }
 
-func (a *Admission) mark(c *figpier.Call, k figpier.LimitKind) {
+func (a *Admission) recordRefusal(c *figpier.Call, k figpier.LimitKind) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.shed.Mark(now, cause{customer: c.Customer(), kind: k})
+	a.refusals.Mark(now, refusalCause{customer: c.Customer(), kind: k})
 }
 
 func (a *Admission) release(o figpier.Outcome) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.apply(a.policy.Release(now, o))
+	a.deliver(a.controller.Release(now, o))
 }
 
 // Bindings implements figpier.Explainer.
@@ -214,7 +217,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var all []figpier.Binding
-	a.shed.Each(now, func(x cause, since time.Time, count int) {
+	a.refusals.Each(now, func(x refusalCause, since time.Time, count int) {
 		c := figpier.BindingConfig{
 			Kind:     x.kind,
 			Service:  a.config.Service,
@@ -223,7 +226,7 @@
 			Count:    count,
 		}
 		if x.kind == figpier.LimitConcurrency {
-			c.Limit = float64(a.policy.Limit())
+			c.Limit = float64(a.controller.Limit())
 		}
 		all = append(all, figpier.NewBinding(c))
 	})
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -19,8 +19,8 @@
 	"github.com/figpier/figpier/internal/traffic/ranks"
 )
 
-// started returns an admission whose services have started.
-func started(t *testing.T) (*Admission, *cutoffs.Table) {
+// startAdmission returns an admission and its cut-offs, both started.
+func startAdmission(t *testing.T) (*Admission, *cutoffs.Table) {
 	t.Helper()
 	k := registry.New(registry.Config{Clock: system.Clock{}})
 	a, table := New(Config{Service: "booking"}), cutoffs.New()
@@ -49,8 +49,8 @@
 	return r.Reason()
 }
 
-func TestNoSlotIsLostWhenCallersGiveUp(t *testing.T) {
-	a, _ := started(t)
+func TestSlotsAreFreedWhenCallersStopWaiting(t *testing.T) {
+	a, _ := startAdmission(t)
 	a.Resize(4)
 	var callers sync.WaitGroup
 	for i := range 200 {
@@ -64,37 +64,37 @@
 		})
 	}
 	callers.Wait()
-	assert.Equal(t, a.policy.Running(), 0)
-	assert.Equal(t, a.policy.Waiting(), 0)
-	assert.Equal(t, len(a.waiters), 0)
+	assert.Equal(t, a.controller.Running(), 0)
+	assert.Equal(t, a.controller.Waiting(), 0)
+	assert.Equal(t, len(a.verdicts), 0)
 }
 
-func TestFreedSlotGoesToTheMostImportantWaitingCall(t *testing.T) {
-	a, _ := started(t)
-	a.policy = policy.New(policy.Config{QueueTime: time.Minute})
+func TestFreedSlotGoesToTheWaitingCallWithLowestRank(t *testing.T) {
+	a, _ := startAdmission(t)
+	a.controller = policy.New(policy.Config{QueueTime: time.Minute})
 	a.Resize(1)
 	first, err := a.Admit(t.Context(), callOf(1))
 	assert.NilError(t, err)
-	won := make(chan figpier.Rank, 2)
+	outcomes := make(chan figpier.Rank, 2)
 	for _, r := range []figpier.Rank{9, 5} {
 		go func() {
 			ticket, err := a.Admit(t.Context(), callOf(r))
 			if err != nil {
-				won <- figpier.MaxRank
+				outcomes <- figpier.MaxRank
 				return
 			}
-			won <- r
+			outcomes <- r
 			ticket.Release(figpier.NewOutcome(figpier.OutcomeDone, time.Millisecond))
 		}()
 	}
-	// A limit of 1 has room for one waiting call: the less important one is shed, whichever came first.
-	assert.Equal(t, <-won, figpier.MaxRank)
+	// With a limit of 1 only one call may wait: the one with the higher rank is shed, whichever came first.
+	assert.Equal(t, <-outcomes, figpier.MaxRank)
 	first.Release(figpier.NewOutcome(figpier.OutcomeDone, time.Millisecond))
-	assert.Equal(t, <-won, figpier.Rank(5))
+	assert.Equal(t, <-outcomes, figpier.Rank(5))
 }
 
-func TestCallsAreRefusedByWhatLiesBelowAndTheLimitIsExplained(t *testing.T) {
-	a, table := started(t)
+func TestDownstreamCutOffRefusesCallsAndIsExplained(t *testing.T) {
+	a, table := startAdmission(t)
 	_, err := a.Admit(t.Context(), callOf(1))
 	assert.Equal(t, reasonOf(t, err), figpier.RefusalNoBackend)
 	a.Resize(1)
--- a/internal/traffic/claims/claims.go
+++ b/internal/traffic/claims/claims.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// claimTime bounds the wait for the right to run.
-	claimTime = 2 * time.Second
-	// askTime bounds one message to a primary, which itself waits for its backups.
-	askTime = 1500 * time.Millisecond
-	// retryTime is the pause before a message is sent again.
-	retryTime = 50 * time.Millisecond
-	// endTime bounds how long the end of an attempt is sent again.
-	endTime = 30 * time.Second
-	// freeTime is how long a request that was not run waits for its claim to be freed.
-	freeTime = 200 * time.Millisecond
+	// claimTimeout bounds the wait for the answer to a claim.
+	claimTimeout = 2 * time.Second
+	// askTimeout bounds one message to a primary, which waits for its backups before it answers.
+	askTimeout = 1500 * time.Millisecond
+	// retryPause is the pause before a message is sent again.
+	retryPause = 50 * time.Millisecond
+	// endTimeout bounds how long the end of an attempt is sent again.
+	endTimeout = 30 * time.Second
+	// freeTimeout bounds how long Finish waits until the claim of a request that was not run is freed.
+	freeTimeout = 200 * time.Millisecond
 )
 
-// Claims implements figpier.Claims.
+// Claims implements figpier.Claims. It is safe for concurrent use.
 type Claims struct {
 	clock     figpier.Clock
 	view      figpier.ConfigurationView
 	messenger figpier.Messenger
 	locator   figpier.ShardLocator
-	work      context.Context
-	ending    sync.WaitGroup
+	runCtx    context.Context // from Start; bounds messages that outlive their request
+	endings   sync.WaitGroup  // ends of attempts that are not recorded yet
 }
 
 // New returns claims that have not started.
@@ -44,7 +44,7 @@
 
 // Start implements figpier.Service.
 func (c *Claims) Start(ctx context.Context, d figpier.Directory) (err error) {
-	c.work = ctx
+	c.runCtx = ctx
 	c.clock = d.Clock()
 	if c.view, err = figpier.FindView(d); err != nil {
 		return err
@@ -56,32 +56,32 @@
 	return err
 }
 
-// Stop implements figpier.Service: it waits until the ends of all attempts are recorded.
+// Stop implements figpier.Service. It waits until the ends of all attempts are recorded, or until the context ends.
 func (c *Claims) Stop(ctx context.Context) error {
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		c.ending.Wait()
-		close(over)
+		c.endings.Wait()
+		close(ended)
 	}()
 	select {
-	case <-over:
+	case <-ended:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// Claim implements figpier.Claims.
+// Claim implements figpier.Claims. An attempt without an answer is ended, because the primary may have recorded it.
 func (c *Claims) Claim(ctx context.Context, call *figpier.Call) (figpier.Claim, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	a := &attempt{
 		claims: c,
 		key:    claim.NewKey(call.Customer(), call.Service(), call.IdempotencyKey()),
 		id:     claim.AttemptID(rand.Text()),
 	}
-	answer, ok := a.ask(ctx, c.interval(call.Service()))
+	answer, ok := a.requestClaim(ctx, c.callerInterval(call.Service()))
 	if !ok {
-		a.end(claim.StateFreed)
+		a.reportEnd(claim.StateFreed)
 		return nil, figpier.Refuse(figpier.RefusalClaimUnknown)
 	}
 	if claim.Verdict(answer.Verdict) == claim.VerdictGranted {
@@ -90,8 +90,8 @@
 	return nil, refusal(answer)
 }
 
-// interval returns the least time between a caller's attempts at a service.
-func (c *Claims) interval(s figpier.UpstreamService) time.Duration {
+// callerInterval returns the least time between a caller's attempts at a service, 0 without a profile.
+func (c *Claims) callerInterval(s figpier.UpstreamService) time.Duration {
 	p, ok := c.view.Configuration().ProfileOf(s)
 	if !ok {
 		return 0
@@ -99,6 +99,7 @@
 	return p.Retry().CallerInterval()
 }
 
+// refusal returns the refusal for a verdict other than VerdictGranted.
 func refusal(a message.ClaimAnswer) *figpier.Refusal {
 	switch claim.Verdict(a.Verdict) {
 	case claim.VerdictRunning:
@@ -115,15 +116,15 @@
 	}
 }
 
-// attempt implements figpier.Claim.
+// attempt implements figpier.Claim. Its ID distinguishes it from other attempts at the same key.
 type attempt struct {
 	claims *Claims
 	key    claim.Key
 	id     claim.AttemptID
 }
 
-// ask asks the primary, and whoever follows it, until one answers or the context ends.
-func (a *attempt) ask(ctx context.Context, interval time.Duration) (message.ClaimAnswer, bool) {
+// requestClaim asks the acting primary for the claim, and its successors, until one answers or the context ends.
+func (a *attempt) requestClaim(ctx context.Context, interval time.Duration) (message.ClaimAnswer, bool) {
 	m := message.ClaimAsk{
 		Shard:          int(shard.OfClaim(a.key)),
 		Key:            codec.FromClaimKey(a.key),
@@ -132,36 +133,38 @@
 	}
 	for ctx.Err() == nil {
 		var answer message.ClaimAnswer
-		if a.send(ctx, figpier.MethodClaim, m, &answer) && answer.Acting {
+		if a.askPrimary(ctx, figpier.MethodClaim, m, &answer) && answer.Acting {
 			return answer, ctx.Err() == nil
 		}
-		a.retryLater(ctx)
+		a.waitRetryPause(ctx)
 	}
 	return message.ClaimAnswer{}, false
 }
 
-// send reports whether the primary answered; one that does not act is forgotten by the caller's next try.
-func (a *attempt) send(ctx context.Context, method figpier.Method, m, answer any) bool {
+// askPrimary sends a message to the primary and reports whether it answered. The locator forgets a primary that failed or is
+// not acting, so that the next try looks it up again.
+func (a *attempt) askPrimary(ctx context.Context, method figpier.Method, m, answer any) bool {
 	id := uint32(shard.OfClaim(a.key))
 	address, err := a.claims.locator.Primary(ctx, id)
 	if err != nil {
 		return false
 	}
-	// A context that is cancelled, unlike a deadline, leaves the connection to others.
-	ask, cancel := context.WithTimeout(a.claims.work, askTime)
+	// The deadline of ctx is not passed on: cancelling a call keeps the shared connection, a passed deadline closes it.
+	askCtx, cancel := context.WithTimeout(a.claims.runCtx, askTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
-	if err := a.claims.messenger.Ask(ask, address, method, m, answer); err != nil {
+	if err := a.claims.messenger.Ask(askCtx, address, method, m, answer); err != nil {
 		a.claims.locator.Forget(id, address)
 		return false
 	}
-	if !acted(answer) {
+	if !isActing(answer) {
 		a.claims.locator.Forget(id, address)
 	}
 	return true
 }
 
-func acted(answer any) bool {
+// isActing reports whether an answer came from an acting primary.
+func isActing(answer any) bool {
 	switch a := answer.(type) {
 	case *message.ClaimAnswer:
 		return a.Acting
@@ -172,33 +175,35 @@
 	}
 }
 
-func (a *attempt) retryLater(ctx context.Context) {
-	over := make(chan struct{})
-	cancel := a.claims.clock.AfterFunc(retryTime, func() { close(over) })
+func (a *attempt) waitRetryPause(ctx context.Context) {
+	elapsed := make(chan struct{})
+	cancel := a.claims.clock.AfterFunc(retryPause, func() { close(elapsed) })
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-over:
+	case <-elapsed:
 	}
 }
 
-// Finish implements figpier.Claim; after a proven "not run" it waits a little, so that a retry of the caller finds the key free.
+// Finish implements figpier.Claim. If the request was proven not to have run, it waits up to freeTimeout for the claim to be
+// freed, so that a retry by the caller does not find it running.
 func (a *attempt) Finish(ctx context.Context, o figpier.Outcome) {
 	s := stateAfter(o.Kind())
-	done := a.end(s)
+	done := a.reportEnd(s)
 	if s != claim.StateFreed {
 		return
 	}
-	over := make(chan struct{})
-	cancel := a.claims.clock.AfterFunc(freeTime, func() { close(over) })
+	elapsed := make(chan struct{})
+	cancel := a.claims.clock.AfterFunc(freeTimeout, func() { close(elapsed) })
 	defer cancel()
 	select {
 	case <-done:
-	case <-over:
+	case <-elapsed:
 	case <-ctx.Done():
 	}
 }
 
+// stateAfter returns the state of a claim after an attempt with an outcome.
 func stateAfter(o figpier.OutcomeKind) claim.State {
 	switch o {
 	case figpier.OutcomeDone:
@@ -210,8 +215,9 @@
 	}
 }
 
-// end tells the primary how the attempt ended, again until it has recorded it, and closes the channel then.
-func (a *attempt) end(s claim.State) <-chan struct{} {
+// reportEnd sends the state to the primary until it is recorded or endTimeout has passed. The channel is closed in either
+// case.
+func (a *attempt) reportEnd(s claim.State) <-chan struct{} {
 	done := make(chan struct{})
 	m := message.ClaimEnd{
 		Shard:   int(shard.OfClaim(a.key)),
@@ -219,16 +225,16 @@
 		Attempt: string(a.id),
 		State:   int(s),
 	}
-	a.claims.ending.Go(func() {
+	a.claims.endings.Go(func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(a.claims.work, endTime)
+		ctx, cancel := context.WithTimeout(a.claims.runCtx, endTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
 			var answer message.ClaimEnded
-			if a.send(ctx, figpier.MethodClaimEnd, m, &answer) && answer.Acting {
+			if a.askPrimary(ctx, figpier.MethodClaimEnd, m, &answer) && answer.Acting {
 				return
 			}
-			a.retryLater(ctx)
+			a.waitRetryPause(ctx)
 		}
 	})
 	return done
--- a/internal/traffic/claims/doc.go
+++ b/internal/traffic/claims/doc.go
@@ -1,2 +1,3 @@
-// Package claims lets non-idempotent requests run at most once over all nodes, by claims at the primaries of shards.
+// Package claims ensures that non-idempotent requests run at most once over all nodes, with claims at the primaries of
+// shards.
 package claims
--- a/internal/traffic/quota/doc.go
+++ b/internal/traffic/quota/doc.go
@@ -1,2 +1,3 @@
-// Package quota holds customers to their limit over all services, out of a node's own part of it and a control instance's pool.
+// Package quota enforces the limits of customers over all services. A node spends its own share of each limit, and then asks
+// a control instance for tokens from a pool that the control instances hold for all nodes.
 package quota
--- a/internal/traffic/quota/limiter.go
+++ b/internal/traffic/quota/limiter.go
@@ -13,59 +13,59 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Figures of the division of limits between nodes and control instances.
+// Times of the division of limits between nodes and control instances.
 const (
-	// shrinkTime is how long the number of nodes must have been lower before a node takes a larger share; a control instance
-	// that has just started counts too few.
-	shrinkTime = 5 * time.Second
-	// askTimeout is several round trips between regions.
+	// nodeCountHold is how long the reported number of nodes must stay lower before a node takes a larger share. A control
+	// instance that has just started reports too few.
+	nodeCountHold = 5 * time.Second
+	// askTimeout allows several round trips between regions.
 	askTimeout = 150 * time.Millisecond
-	// aloneTime is how long no poll must have been answered before a node spends the pool's part by itself: a control
-	// instance spends it for 1.5 s after a poll, and the last poll that reached it may be a second younger than the last
-	// one that it answered.
-	aloneTime = 2500 * time.Millisecond
-	// returnTime is when a caller may come back after a refusal for a pool that does not answer; by then the node polls
-	// another one or knows that it is alone.
-	returnTime = 500 * time.Millisecond
-	// reportInterval is the least time between two lines on a pool that does not answer.
-	reportInterval = time.Second
+	// poolLossTime is how long no poll must have been answered before a node spends its part of the pool itself. A control
+	// instance spends that part for 1.5 s after a poll, and the last poll that reached it may have been sent up to 1 s
+	// after the last one that was answered.
+	poolLossTime = 2500 * time.Millisecond
+	// unansweredRetryAfter is the Retry-After of a refusal because the pool did not answer. By then the node polls another
+	// control instance or spends its part itself.
+	unansweredRetryAfter = 500 * time.Millisecond
+	// logInterval is the least time between two log lines about a pool that does not answer.
+	logInterval = time.Second
 )
 
-// Config builds a Limiter.
+// Config configures a Limiter.
 type Config struct {
-	// Window is the span over which the fleet's excess is judged.
+	// Window is the time over which the fleet may exceed a limit by Overage and Slack.
 	Window time.Duration
-	// Overage is the part by which the fleet may exceed a limit within the window.
+	// Overage is the share of a limit by which the fleet may exceed it within Window.
 	Overage float64
-	// Slack is the number of requests by which the fleet may exceed a limit within the window besides.
+	// Slack is the number of requests by which the fleet may exceed a limit within Window, in addition to Overage.
 	Slack float64
-	// Log takes a line when the pool stops or starts to answer.
+	// Log receives lines while the pool does not answer, and one when it answers after the node was without a pool.
 	Log *logrus.Entry
 }
 
-// Limiter implements figpier.Limiter for the accounts of the routing table.
+// Limiter implements figpier.Limiter for the accounts of the routing table. It is safe for concurrent use.
 type Limiter struct {
 	config    Config
 	clock     figpier.Clock
 	view      figpier.ConfigurationView
 	messenger figpier.Messenger
 
-	// opened is when the process started.
-	opened time.Time
+	// started is when the process started.
+	started time.Time
 
-	mu sync.Mutex
-	// policy spends the node's own part.
-	policy *policy.Table
-	// alone spends an equal part of the pools' while no control instance answers, nil while one does.
-	alone *policy.Table
-	// debt is what was spent on the pools' account while they may still count this node.
+	mu sync.Mutex // guards the fields below
+	// nodeTable spends the node's own share.
+	nodeTable *policy.Table
+	// aloneTable spends the node's part of the pool while no control instance answers, nil while one does.
+	aloneTable *policy.Table
+	// debt counts the requests admitted on credit while the pool did not answer but may still have counted this node.
 	debt *policy.Debt
-	// idler is the control instance that spends nothing yet, since a time.
-	idler     string
-	idleSince time.Time
-	reported  time.Time
-	nodes     int
-	above     time.Time
+	// idleControl is the control instance whose pool does not grant tokens yet, and idleSince is when that was first seen.
+	idleControl string
+	idleSince   time.Time
+	lastLogged  time.Time
+	nodeCount   int       // as used for shares; follows a lower reported number after nodeCountHold
+	nodeCountAt time.Time // when at least nodeCount nodes were reported last
 }
 
 // New returns a limiter that has not started.
@@ -82,14 +82,14 @@
 	if l.view, err = figpier.FindView(d); err != nil {
 		return err
 	}
-	l.opened = l.clock.Now()
-	l.policy = l.open(l.opened)
+	l.started = l.clock.Now()
+	l.nodeTable = l.newTable(l.started)
 	l.messenger, err = figpier.FindMessenger(d)
 	return err
 }
 
-// open returns a table whose buckets fill from now on.
-func (l *Limiter) open(now time.Time) *policy.Table {
+// newTable returns a table whose buckets are empty and fill from now on.
+func (l *Limiter) newTable(now time.Time) *policy.Table {
 	return policy.New(policy.Config{
 		Window:  l.config.Window,
 		Overage: l.config.Overage,
@@ -101,50 +101,51 @@
 // Stop implements figpier.Service.
 func (l *Limiter) Stop(context.Context) error { return nil }
 
-// Take implements figpier.Limiter; the limit holds over all services.
+// Take implements figpier.Limiter. The limit applies to all services together.
 func (l *Limiter) Take(ctx context.Context, c figpier.CustomerID, _ figpier.UpstreamService) error {
-	limit, ok := l.limit(c)
-	if !ok || l.own(c, limit) {
+	limit, ok := l.accountLimit(c)
+	if !ok || l.takeOwn(c, limit) {
 		return nil
 	}
-	wait, granted := l.common(ctx, c, limit)
+	wait, granted := l.takeFromPool(ctx, c, limit)
 	if granted {
 		return nil
 	}
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalOverRate, RetryAfter: wait})
 }
 
-// common spends a token of the part that the control instances spend for all nodes.
-func (l *Limiter) common(ctx context.Context, c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, granted bool) {
-	a, err := l.ask(ctx, c)
+// takeFromPool asks the control instance for a token of the pool, and falls back to credit or the node's part of the
+// pool. If no token was granted, wait is the Retry-After of the refusal.
+func (l *Limiter) takeFromPool(ctx context.Context, c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, granted bool) {
+	a, err := l.askPool(ctx, c)
 	switch {
 	case err != nil:
-		return l.unanswered(c, limit, err)
+		return l.takeUnanswered(c, limit, err)
 	case a.Idle:
-		return l.idle(c, limit)
+		return l.takeWhilePoolIdle(c, limit)
 	}
-	l.regained()
+	l.poolAnswered()
 	return time.Duration(a.WaitMillis) * time.Millisecond, a.Granted
 }
 
-// own spends a token of the node's own part.
-func (l *Limiter) own(c figpier.CustomerID, limit figpier.Limit) bool {
+// takeOwn spends a token of the node's own share.
+func (l *Limiter) takeOwn(c figpier.CustomerID, limit figpier.Limit) bool {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, ok := l.policy.Take(now, c, limit, l.policy.NodeShare(limit, l.count(now)))
+	_, ok := l.nodeTable.Take(now, c, limit, l.nodeTable.NodeShare(limit, l.countNodes(now)))
 	return ok
 }
 
-// ask has the control instance that this node polls spend a token of its pool, and pays what the node owes.
-func (l *Limiter) ask(ctx context.Context, c figpier.CustomerID) (message.PoolAnswer, error) {
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+// askPool asks the control instance that this node polls for a token, and repays the customer's debt.
+func (l *Limiter) askPool(ctx context.Context, c figpier.CustomerID) (message.PoolAnswer, error) {
+	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	l.mu.Lock()
-	m := message.PoolAsk{Customer: string(c), Owed: l.debt.Owed(c), Nodes: l.count(l.clock.Now())}
+	m := message.PoolAsk{Customer: string(c), Owed: l.debt.Owed(c), Nodes: l.countNodes(l.clock.Now())}
 	l.mu.Unlock()
 	var a message.PoolAnswer
-	err := l.messenger.Ask(bounded, l.view.Control(), figpier.MethodPool, m, &a)
+	err := l.messenger.Ask(askCtx, l.view.Control(), figpier.MethodPool, m, &a)
 	if err == nil && a.Paid > 0 {
 		l.mu.Lock()
 		l.debt.Repay(c, a.Paid)
@@ -153,72 +154,75 @@
 	return a, err
 }
 
-// unanswered borrows a token where the pool may still count this node, and spends the node's part of it alone after that.
-func (l *Limiter) unanswered(c figpier.CustomerID, limit figpier.Limit, cause error) (wait time.Duration, ok bool) {
+// takeUnanswered handles a failed request to the pool. It admits on credit while the pool may still count this node, and
+// spends the node's part of the pool after poolLossTime.
+func (l *Limiter) takeUnanswered(c figpier.CustomerID, limit figpier.Limit, cause error) (wait time.Duration, ok bool) {
 	now := l.clock.Now()
-	polled := now.Sub(l.view.Polled())
+	sincePoll := now.Sub(l.view.Polled())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.reported) >= reportInterval {
-		l.reported = now
+	if now.Sub(l.lastLogged) >= logInterval {
+		l.lastLogged = now
 		l.config.Log.WithError(cause).WithFields(logrus.Fields{
 			"control":  l.view.Control(),
-			"polled":   polled.String(),
+			"polled":   sincePoll.String(),
 			"customer": string(c),
-			"alone":    polled > aloneTime,
+			"alone":    sincePoll > poolLossTime,
 		}).Warn("the pool of customers' limits does not answer")
 	}
-	if polled <= aloneTime {
-		return returnTime, l.borrow(now, c, limit)
+	if sincePoll <= poolLossTime {
+		return unansweredRetryAfter, l.borrow(now, c, limit)
 	}
-	return l.spendAlone(now, c, limit)
+	return l.takeAlone(now, c, limit)
 }
 
-// idle spends the node's part of a pool that spends nothing yet, once no other one can count this node any more.
-func (l *Limiter) idle(c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, ok bool) {
+// takeWhilePoolIdle handles a pool that does not grant tokens yet. It admits on credit until no previous pool can still
+// count this node, and spends the node's part of the pool after that.
+func (l *Limiter) takeWhilePoolIdle(c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, ok bool) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if control := l.view.Control(); control != l.idler {
-		l.idler, l.idleSince = control, now
+	if control := l.view.Control(); control != l.idleControl {
+		l.idleControl, l.idleSince = control, now
 	}
-	if now.Sub(l.idleSince) <= aloneTime {
-		return returnTime, l.borrow(now, c, limit)
+	if now.Sub(l.idleSince) <= poolLossTime {
+		return unansweredRetryAfter, l.borrow(now, c, limit)
 	}
-	return l.spendAlone(now, c, limit)
+	return l.takeAlone(now, c, limit)
 }
 
-// borrow lets a request in on the pools' account, but not within a window after the start: what the process owed before it
-// ended is not known. The mutex is held.
+// borrow admits a request on credit, but not in the first Window after the start, because the debt of the previous process is
+// unknown. l.mu must be held.
 func (l *Limiter) borrow(now time.Time, c figpier.CustomerID, limit figpier.Limit) bool {
-	if now.Sub(l.opened) < l.config.Window {
+	if now.Sub(l.started) < l.config.Window {
 		return false
 	}
-	return l.debt.Borrow(c, l.policy.Loan(limit, l.count(now)))
+	return l.debt.Borrow(c, l.nodeTable.Loan(limit, l.countNodes(now)))
 }
 
-// spendAlone spends a token of an equal part of the pools'; the mutex is held.
-func (l *Limiter) spendAlone(now time.Time, c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, ok bool) {
-	if l.alone == nil {
-		// The pool may have spent its part for this node until now.
-		l.alone = l.open(now)
+// takeAlone spends a token of the node's part of the pool. l.mu must be held.
+func (l *Limiter) takeAlone(now time.Time, c figpier.CustomerID, limit figpier.Limit) (wait time.Duration, ok bool) {
+	if l.aloneTable == nil {
+		// The table starts empty, because the pool may have spent this node's part until now.
+		l.aloneTable = l.newTable(now)
 	}
-	return l.alone.Take(now, c, limit, l.alone.AloneShare(limit, l.count(now)))
+	return l.aloneTable.Take(now, c, limit, l.aloneTable.AloneShare(limit, l.countNodes(now)))
 }
 
-// regained ends the time alone when a pool has answered.
-func (l *Limiter) regained() {
+// poolAnswered goes back to the pool after it has answered.
+func (l *Limiter) poolAnswered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.idler = ""
-	if l.alone == nil {
+	l.idleControl = ""
+	if l.aloneTable == nil {
 		return
 	}
-	l.alone = nil
+	l.aloneTable = nil
 	l.config.Log.WithField("control", l.view.Control()).Info("the pool of customers' limits answers again")
 }
 
-func (l *Limiter) limit(c figpier.CustomerID) (figpier.Limit, bool) {
+// accountLimit returns the customer's limit, or false if the routing table has no account for it.
+func (l *Limiter) accountLimit(c figpier.CustomerID) (figpier.Limit, bool) {
 	t := l.view.Configuration().Table()
 	if t == nil {
 		return figpier.Limit{}, false
@@ -230,14 +234,14 @@
 	return a.Limit(), true
 }
 
-// count returns the number of nodes, which shrinks only after a while; the mutex is held.
-func (l *Limiter) count(now time.Time) int {
+// countNodes returns the number of nodes, which falls only after nodeCountHold. l.mu must be held.
+func (l *Limiter) countNodes(now time.Time) int {
 	n := l.view.Nodes()
-	if n >= l.nodes {
-		l.nodes, l.above = n, now
+	if n >= l.nodeCount {
+		l.nodeCount, l.nodeCountAt = n, now
 	}
-	if now.Sub(l.above) > shrinkTime {
-		l.nodes, l.above = n, now
+	if now.Sub(l.nodeCountAt) > nodeCountHold {
+		l.nodeCount, l.nodeCountAt = n, now
 	}
-	return l.nodes
+	return l.nodeCount
 }
--- a/internal/traffic/quota/limiter_test.go
+++ b/internal/traffic/quota/limiter_test.go
@@ -15,21 +15,21 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Figures of the fleet that the tests judge.
+// The simulated fleet and its limits.
 const (
 	fleetNodes = 24
 	window     = 5 * time.Second
 	overage    = 0.1
 	slack      = 20
 	customer   = figpier.CustomerID("valv")
-	// step is the time between two rounds, in which each node takes one request.
+	// step is the time between two rounds. Each node takes one request in a round.
 	step = 20 * time.Millisecond
 )
 
-// countedTime is how long a control instance spends a node's part after its last poll.
-const countedTime = 1500 * time.Millisecond
+// controlCountTime is how long a control instance spends a node's part of the pool after its last poll.
+const controlCountTime = 1500 * time.Millisecond
 
-// fleet is a control instance and the nodes that poll it, on one clock.
+// fleet is a control instance and the nodes that poll it, on a simulated clock.
 type fleet struct {
 	now   time.Time
 	limit figpier.Limit
@@ -37,18 +37,18 @@
 	configuration *figpier.Configuration
 	pool          *policy.Table
 	nodes         []*node
-	taken         []time.Time
+	taken         []time.Time // times of the admitted requests
 }
 
-// node is a limiter with what it knows.
+// node is a Limiter with fakes of the services that it uses.
 type node struct {
 	*Limiter
 	figpier.ConfigurationView
 	figpier.Messenger
 	fleet  *fleet
 	polled time.Time
-	// reaches reports whether a message to the control instance is answered now.
-	reaches func() bool
+	// reachesControl reports whether the control instance answers the node's messages now.
+	reachesControl func() bool
 }
 
 func newFleet(rate float64) *fleet {
@@ -57,23 +57,23 @@
 	f.pool = policy.New(policy.Config{Window: window, Overage: overage, Slack: slack, Opened: f.now})
 	log, _ := test.NewNullLogger()
 	for range fleetNodes {
-		n := &node{fleet: f, reaches: func() bool { return true }}
+		n := &node{fleet: f, reachesControl: func() bool { return true }}
 		n.Limiter = New(Config{Window: window, Overage: overage, Slack: slack, Log: logrus.NewEntry(log)})
 		n.clock, n.view, n.messenger = n, n, n
-		n.policy = n.open(f.now)
+		n.nodeTable = n.newTable(f.now)
 		f.nodes = append(f.nodes, n)
 	}
 	return f
 }
 
-// play has every node ask for more requests than the limit allows, and poll ten times a second.
-func (f *fleet) play(t *testing.T, d time.Duration) {
+// run has every node take a request per step, and poll ten times a second while it reaches its control instance.
+func (f *fleet) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	steps := int(d / step)
 	for i := range steps {
 		f.now = f.now.Add(step)
 		for _, n := range f.nodes {
-			if i%5 == 0 && n.reaches() {
+			if i%5 == 0 && n.reachesControl() {
 				n.polled = f.now
 			}
 			if n.Take(t.Context(), customer, "litters") == nil {
@@ -83,19 +83,19 @@
 	}
 }
 
-// counted returns the number of nodes whose part the control instance spends.
-func (f *fleet) counted() int {
+// countedNodes returns the number of nodes whose part of the pool the control instance spends.
+func (f *fleet) countedNodes() int {
 	all := 0
 	for _, n := range f.nodes {
-		if f.now.Sub(n.polled) <= countedTime {
+		if f.now.Sub(n.polled) <= controlCountTime {
 			all++
 		}
 	}
 	return all
 }
 
-// worst returns the most requests that were taken within one window.
-func (f *fleet) worst() int {
+// maxInWindow returns the largest number of requests admitted within one window.
+func (f *fleet) maxInWindow() int {
 	most, from := 0, 0
 	for i, at := range f.taken {
 		for at.Sub(f.taken[from]) >= window {
@@ -106,20 +106,20 @@
 	return most
 }
 
-// allowed is the most requests that a window may have.
-func (f *fleet) allowed() float64 {
+// allowedInWindow returns the largest number of requests that may be admitted within one window.
+func (f *fleet) allowedInWindow() float64 {
 	return (f.limit.Rate()*window.Seconds()+f.limit.Burst())*(1+overage) + slack
 }
 
-// rate returns the requests that were taken a second of late, as a part of the limit.
-func (f *fleet) rate(d time.Duration) float64 {
-	late := 0
+// takenShare returns the rate of requests admitted in the last d, as a share of the limit's rate.
+func (f *fleet) takenShare(d time.Duration) float64 {
+	recent := 0
 	for _, at := range f.taken {
 		if f.now.Sub(at) < d {
-			late++
+			recent++
 		}
 	}
-	return float64(late) / d.Seconds() / f.limit.Rate()
+	return float64(recent) / d.Seconds() / f.limit.Rate()
 }
 
 func (n *node) Now() time.Time                                  { return n.fleet.now }
@@ -133,7 +133,7 @@
 
 func (n *node) Configuration() *figpier.Configuration { return n.fleet.configuration }
 
-// configuration returns a configuration with one customer.
+// configuration returns a configuration with one customer's account.
 func configuration(l figpier.Limit) *figpier.Configuration {
 	account := figpier.NewAccount(figpier.AccountConfig{Customer: customer, Limit: l})
 	table := figpier.NewTable(figpier.TableConfig{Number: 1, Accounts: []*figpier.Account{account}})
@@ -141,69 +141,69 @@
 }
 
 func (n *node) Ask(_ context.Context, _ string, _ figpier.Method, ask, answer any) error {
-	if !n.reaches() {
+	if !n.reachesControl() {
 		return context.DeadlineExceeded
 	}
 	f := n.fleet
-	share := f.pool.PoolShare(f.limit, f.counted(), fleetNodes)
+	share := f.pool.PoolShare(f.limit, f.countedNodes(), fleetNodes)
 	paid := f.pool.Pay(f.now, customer, f.limit, share, ask.(message.PoolAsk).Owed)
 	wait, granted := f.pool.Take(f.now, customer, f.limit, share)
 	*answer.(*message.PoolAnswer) = message.PoolAnswer{Granted: granted, WaitMillis: int(wait.Milliseconds()), Paid: paid}
 	return nil
 }
 
-// rates are limits from those that one node can't divide to those of large customers, in requests a second.
+// rates are limits in requests per second, from one too small to be divided among the nodes to that of a large customer.
 var rates = []float64{4, 60, 1000}
 
-func TestUnansweredAsksLetNoCustomerExceedItsLimit(t *testing.T) {
+func TestLimitHoldsWhenPoolRequestsAreLost(t *testing.T) {
 	for _, rate := range rates {
 		random := rand.New(rand.NewPCG(1, 2))
 		f := newFleet(rate)
 		for _, n := range f.nodes {
-			n.reaches = func() bool { return random.Float64() < 0.5 }
+			n.reachesControl = func() bool { return random.Float64() < 0.5 }
 		}
-		f.play(t, 30*time.Second)
-		assert.Assert(t, float64(f.worst()) <= f.allowed(), "rate %v: %d of at most %v", rate, f.worst(), f.allowed())
-		assert.Assert(t, f.rate(20*time.Second) > 0.95, "rate %v: %v", rate, f.rate(20*time.Second))
+		f.run(t, 30*time.Second)
+		assert.Assert(t, float64(f.maxInWindow()) <= f.allowedInWindow(), "rate %v: %d of at most %v", rate, f.maxInWindow(), f.allowedInWindow())
+		assert.Assert(t, f.takenShare(20*time.Second) > 0.95, "rate %v: %v", rate, f.takenShare(20*time.Second))
 	}
 }
 
-func TestNodesThatLoseTheirControlInstanceExceedNoLimit(t *testing.T) {
+func TestLimitHoldsWhenNodesLoseTheirControlInstance(t *testing.T) {
 	for _, rate := range rates {
 		f := newFleet(rate)
-		cut := false
+		partitioned := false
 		for _, n := range f.nodes[:fleetNodes/2] {
-			n.reaches = func() bool { return !cut }
+			n.reachesControl = func() bool { return !partitioned }
 		}
 		for range 6 {
-			f.play(t, 2*time.Second)
-			cut = true
-			f.play(t, 4*time.Second)
-			cut = false
+			f.run(t, 2*time.Second)
+			partitioned = true
+			f.run(t, 4*time.Second)
+			partitioned = false
 		}
-		assert.Assert(t, float64(f.worst()) <= f.allowed(), "rate %v: %d of at most %v", rate, f.worst(), f.allowed())
+		assert.Assert(t, float64(f.maxInWindow()) <= f.allowedInWindow(), "rate %v: %d of at most %v", rate, f.maxInWindow(), f.allowedInWindow())
 	}
 }
 
-func TestNodesAloneSpendThePoolsPart(t *testing.T) {
+func TestNodesWithoutControlInstanceUseThePoolsShare(t *testing.T) {
 	for _, rate := range rates {
 		f := newFleet(rate)
 		for _, n := range f.nodes {
-			n.reaches = func() bool { return false }
+			n.reachesControl = func() bool { return false }
 		}
-		f.play(t, time.Minute)
-		assert.Assert(t, float64(f.worst()) <= f.allowed(), "rate %v: %d of at most %v", rate, f.worst(), f.allowed())
-		assert.Assert(t, f.rate(30*time.Second) > 0.9, "rate %v: %v", rate, f.rate(30*time.Second))
+		f.run(t, time.Minute)
+		assert.Assert(t, float64(f.maxInWindow()) <= f.allowedInWindow(), "rate %v: %d of at most %v", rate, f.maxInWindow(), f.allowedInWindow())
+		assert.Assert(t, f.takenShare(30*time.Second) > 0.9, "rate %v: %v", rate, f.takenShare(30*time.Second))
 	}
 }
 
-func TestNodeThatHasJustStartedBorrowsNothing(t *testing.T) {
+func TestNewNodeDoesNotBorrow(t *testing.T) {
 	f := newFleet(rates[len(rates)-1])
 	for _, n := range f.nodes {
-		n.opened = f.now
-		n.reaches = func() bool { return false }
+		n.started = f.now
+		n.reachesControl = func() bool { return false }
 		n.polled = f.now
 	}
-	f.play(t, step)
-	assert.Equal(t, len(f.taken), 0, "what a process owed before its start is not known")
+	f.run(t, step)
+	assert.Equal(t, len(f.taken), 0, "the debt of the previous process is unknown")
 }
