--- a/call.go
+++ b/call.go
@@ -2,88 +2,88 @@
 
 import "time"
 
-// Rank orders whole requests under overload: a request of a lower rank is shed later.
+// Rank orders requests for load shedding: the highest ranks are refused first. Every hop of a request uses the same rank.
 type Rank uint32
 
-// MaxRank is the rank that is shed first.
+// MaxRank is the highest rank. As a cut-off it means that nothing is refused.
 const MaxRank Rank = 1<<32 - 1
 
-// CallConfig builds a Call.
+// CallConfig holds the arguments of NewCall.
 type CallConfig struct {
-	// RequestID names the whole request at every hop.
+	// RequestID identifies the end-to-end request at every hop.
 	RequestID RequestID
-	// Customer is whose key came with the request, empty on open routes.
+	// Customer is the owner of the key sent with the request, empty on open routes.
 	Customer CustomerID
-	// KeyDigest is the digest of the key that came with the request.
+	// KeyDigest is the digest of the customer key sent with the request.
 	KeyDigest KeyDigest
-	// Service is the service that this hop calls.
+	// Service is the service that handles this hop.
 	Service UpstreamService
-	// Route is the method and path of the service's route that the call takes.
+	// Route identifies the matched route: its method and path in a profile, or its name in the routing table.
 	Route string
-	// Priority is the class that the entry's route gave the request.
+	// Priority is the class assigned at the node where the request entered.
 	Priority PriorityClass
-	// Rank is the request's place in the order of shedding.
+	// Rank is the request's position in the shedding order.
 	Rank Rank
-	// Deadline is when the whole request ends.
+	// Deadline is the time at which the end-to-end request times out.
 	Deadline time.Time
-	// Budget is the number of extra attempts left to this part of the call tree.
+	// Budget is the number of retries left for this call and the calls below it.
 	Budget int
-	// Idempotent says that this hop's request may run twice without harm.
+	// Idempotent marks a request that may safely run more than once at this hop.
 	Idempotent bool
-	// IdempotencyKey is the caller's name for a non-idempotent request, empty when it gave none.
+	// IdempotencyKey is the caller's key for a non-idempotent request, shared by its resends; empty when none was sent.
 	IdempotencyKey IdempotencyKey
 	// Depth is the number of hops before this one.
 	Depth int
-	// CallerService is the service whose instance the request began at, empty where it came from outside.
+	// CallerService is the service that sent the request, empty for requests from outside.
 	CallerService UpstreamService
 }
 
-// Call is one hop of a whole request.
+// Call describes one hop of an end-to-end request. It is immutable.
 type Call struct {
 	config CallConfig
 }
 
-// NewCall returns a call.
+// NewCall returns an immutable call.
 func NewCall(c CallConfig) *Call { return &Call{config: c} }
 
-// Config returns a copy to build another hop from.
+// Config returns a copy of the arguments, from which a changed call can be built.
 func (c *Call) Config() CallConfig { return c.config }
 
-// RequestID returns the name of the whole request.
+// RequestID returns the identifier of the end-to-end request, which is the same at every hop.
 func (c *Call) RequestID() RequestID { return c.config.RequestID }
 
-// Customer returns whose key came with the request, empty on open routes.
+// Customer returns the owner of the key sent with the request, empty on open routes.
 func (c *Call) Customer() CustomerID { return c.config.Customer }
 
-// KeyDigest returns the digest of the key that came with the request.
+// KeyDigest returns the digest of the customer key sent with the request.
 func (c *Call) KeyDigest() KeyDigest { return c.config.KeyDigest }
 
-// Service returns the service that this hop calls.
+// Service returns the service that handles this hop.
 func (c *Call) Service() UpstreamService { return c.config.Service }
 
-// Route returns the method and path of the service's route that the call takes.
+// Route returns the matched route: its method and path in a profile, or its name in the routing table.
 func (c *Call) Route() string { return c.config.Route }
 
-// Priority returns the class that the entry's route gave the request.
+// Priority returns the class assigned at the node where the request entered.
 func (c *Call) Priority() PriorityClass { return c.config.Priority }
 
-// Rank returns the request's place in the order of shedding.
+// Rank returns the request's position in the shedding order.
 func (c *Call) Rank() Rank { return c.config.Rank }
 
-// Deadline returns when the whole request ends.
+// Deadline returns the time at which the end-to-end request times out.
 func (c *Call) Deadline() time.Time { return c.config.Deadline }
 
-// Budget returns the number of extra attempts left to this part of the call tree.
+// Budget returns the number of retries left for this call and the calls below it.
 func (c *Call) Budget() int { return c.config.Budget }
 
-// Idempotent reports whether this hop's request may run twice without harm.
+// Idempotent reports whether the request may safely run more than once at this hop.
 func (c *Call) Idempotent() bool { return c.config.Idempotent }
 
-// IdempotencyKey returns the caller's name for a non-idempotent request.
+// IdempotencyKey returns the caller's key for a non-idempotent request, empty when none was sent.
 func (c *Call) IdempotencyKey() IdempotencyKey { return c.config.IdempotencyKey }
 
 // Depth returns the number of hops before this one.
 func (c *Call) Depth() int { return c.config.Depth }
 
-// CallerService returns the service whose instance the request began at, empty where it came from outside.
+// CallerService returns the service that sent the request, empty for requests from outside.
 func (c *Call) CallerService() UpstreamService { return c.config.CallerService }
--- a/configuration.go
+++ b/configuration.go
@@ -5,88 +5,88 @@
 // KeyDigest is the SHA-256 digest of a customer key.
 type KeyDigest [32]byte
 
-// KeyConfig builds a Key.
+// KeyConfig holds the arguments of NewKey.
 type KeyConfig struct {
-	// ID is the key's public name.
+	// ID is the key's public identifier, which operators use to withdraw it.
 	ID string
-	// Customer is whom the key was given to.
+	// Customer is the owner of the key.
 	Customer CustomerID
-	// Digest is the digest of the secret.
+	// Digest is the digest of the secret that callers send.
 	Digest KeyDigest
-	// Revision is the configuration revision that gave the key.
+	// Revision is the configuration revision that added the key.
 	Revision Revision
 }
 
-// Key is a customer key without its secret.
+// Key describes a customer key. It holds the digest of the secret, not the secret.
 type Key struct {
 	config KeyConfig
 }
 
-// NewKey returns a key.
+// NewKey returns an immutable key.
 func NewKey(c KeyConfig) *Key { return &Key{config: c} }
 
-// ID returns the key's public name.
+// ID returns the key's public identifier.
 func (k *Key) ID() string { return k.config.ID }
 
-// Customer returns whom the key was given to.
+// Customer returns the owner of the key.
 func (k *Key) Customer() CustomerID { return k.config.Customer }
 
-// Digest returns the digest of the secret.
+// Digest returns the digest of the secret that callers send.
 func (k *Key) Digest() KeyDigest { return k.config.Digest }
 
-// Revision returns the configuration revision that gave the key.
+// Revision returns the configuration revision that added the key.
 func (k *Key) Revision() Revision { return k.config.Revision }
 
-// AssignmentConfig builds an Assignment.
+// AssignmentConfig holds the arguments of NewAssignment.
 type AssignmentConfig struct {
-	// Service is the service of the call graph.
+	// Service is the service that the profile applies to.
 	Service UpstreamService
-	// Profile is the profile that the service has.
+	// Profile is the name of the assigned profile.
 	Profile ProfileName
 	// Revision is the configuration revision that last changed the assignment.
 	Revision Revision
 }
 
-// Assignment gives a service its profile.
+// Assignment assigns a profile to a service.
 type Assignment struct {
 	config AssignmentConfig
 }
 
-// NewAssignment returns an assignment.
+// NewAssignment returns an immutable assignment.
 func NewAssignment(c AssignmentConfig) *Assignment { return &Assignment{config: c} }
 
-// Service returns the service of the call graph.
+// Service returns the service that the profile applies to.
 func (a *Assignment) Service() UpstreamService { return a.config.Service }
 
-// Profile returns the profile that the service has.
+// Profile returns the name of the assigned profile.
 func (a *Assignment) Profile() ProfileName { return a.config.Profile }
 
 // Revision returns the configuration revision that last changed the assignment.
 func (a *Assignment) Revision() Revision { return a.config.Revision }
 
-// ConfigurationConfig builds a Configuration.
+// ConfigurationConfig holds the arguments of NewConfiguration.
 type ConfigurationConfig struct {
-	// Revision numbers the configuration.
+	// Revision is the revision number, which rises with each accepted edit.
 	Revision Revision
-	// Profiles are the profiles by name.
+	// Profiles holds the profiles by name.
 	Profiles map[ProfileName]*Profile
-	// Assignments are the assignments by service.
+	// Assignments holds the assignments by service.
 	Assignments map[UpstreamService]*Assignment
-	// Keys are the keys by digest.
+	// Keys holds the customer keys by digest.
 	Keys map[KeyDigest]*Key
 	// Table is the routing table, nil where operators have set none.
 	Table *Table
 }
 
-// Configuration is everything that operators have accepted, at one revision.
+// Configuration is the accepted operator configuration at one revision.
 type Configuration struct {
 	config ConfigurationConfig
 }
 
-// NewConfiguration returns an immutable configuration, which owns the maps that it is built from.
+// NewConfiguration returns an immutable configuration. It takes ownership of the maps in c.
 func NewConfiguration(c ConfigurationConfig) *Configuration { return &Configuration{config: c} }
 
-// Revision returns the number of the configuration.
+// Revision returns the revision number, which rises with each accepted edit.
 func (c *Configuration) Revision() Revision { return c.config.Revision }
 
 // Profiles returns the profiles by name, which the caller must not change.
@@ -101,7 +101,7 @@
 // Table returns the routing table, nil where operators have set none.
 func (c *Configuration) Table() *Table { return c.config.Table }
 
-// ProfileOf returns the profile assigned to a service.
+// ProfileOf returns the profile assigned to a service, false when it has none.
 func (c *Configuration) ProfileOf(s UpstreamService) (*Profile, bool) {
 	a, ok := c.config.Assignments[s]
 	if !ok {
@@ -111,7 +111,7 @@
 	return p, ok
 }
 
-// CustomerOf returns the customer whose key has the digest.
+// CustomerOf returns the owner of the key with the given digest.
 func (c *Configuration) CustomerOf(d KeyDigest) (CustomerID, bool) {
 	k, ok := c.config.Keys[d]
 	if !ok {
@@ -120,7 +120,7 @@
 	return k.Customer(), true
 }
 
-// Clone returns a configuration builder with copied maps and the next revision.
+// Clone returns arguments for the next revision, with copies of the maps.
 func (c *Configuration) Clone() ConfigurationConfig {
 	return ConfigurationConfig{
 		Revision:    c.config.Revision + 1,
--- a/control.go
+++ b/control.go
@@ -5,128 +5,128 @@
 	"time"
 )
 
-// ReceiptConfig builds a Receipt.
+// ReceiptConfig holds the arguments of NewReceipt.
 type ReceiptConfig struct {
-	// Operation is the edit's name.
+	// Operation is the operation ID of the edit.
 	Operation OperationID
-	// Revision is the revision that the edit made.
+	// Revision is the configuration revision that the edit created.
 	Revision Revision
-	// KeyID is the name of the key that was given or withdrawn.
+	// KeyID is the identifier of the key that was given or withdrawn, empty for other edits.
 	KeyID string
 }
 
-// Receipt is the answer to an accepted edit.
+// Receipt confirms an accepted edit.
 type Receipt struct {
 	config ReceiptConfig
 }
 
-// NewReceipt returns a receipt.
+// NewReceipt returns an immutable receipt.
 func NewReceipt(c ReceiptConfig) *Receipt { return &Receipt{config: c} }
 
-// Operation returns the edit's name.
+// Operation returns the operation ID of the edit.
 func (r *Receipt) Operation() OperationID { return r.config.Operation }
 
-// Revision returns the revision that the edit made.
+// Revision returns the configuration revision that the edit created.
 func (r *Receipt) Revision() Revision { return r.config.Revision }
 
-// KeyID returns the name of the key that was given or withdrawn.
+// KeyID returns the identifier of the key that was given or withdrawn, empty for other edits.
 func (r *Receipt) KeyID() string { return r.config.KeyID }
 
 // Catalog holds the accepted configuration of a control instance.
 type Catalog interface {
 	Service
-	// Submit has an edit accepted by a quorum, or returns a typed error.
+	// Submit returns once a quorum has accepted the edit, or with one of the typed errors for edits.
 	Submit(ctx context.Context, e *Edit) (*Receipt, error)
 	// Configuration returns the newest accepted configuration that this instance knows.
 	Configuration() *Configuration
-	// Subscribe runs a function on the control thread after each accepted configuration.
+	// Subscribe registers a function that runs on the control thread after each accepted configuration.
 	Subscribe(f func(*Configuration))
 }
 
-// StateMachine is the deterministic state that a replicated log drives.
+// StateMachine is the deterministic state to which a replicated log applies committed commands.
 type StateMachine interface {
-	// Apply applies the command at an index and returns the answer to its proposer.
+	// Apply applies the committed command at a log index and returns the result for its proposer.
 	Apply(index uint64, command []byte) (answer any)
-	// Snapshot returns the state after the last applied command.
+	// Snapshot encodes the state after the last applied command.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state.
+	// Restore replaces the state with that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// ReplicatedLog orders commands over the control instances and drives a state machine on the control thread.
+// ReplicatedLog replicates commands between control instances and applies them in order to a state machine on the control thread.
 type ReplicatedLog interface {
 	Service
-	// Drive sets the state machine before the log starts.
+	// Drive sets the state machine. It must be called before the log starts.
 	Drive(m StateMachine)
-	// Propose has a command committed by a quorum and returns the state machine's answer.
+	// Propose returns the state machine's result once a quorum has committed the command.
 	Propose(ctx context.Context, command []byte) (answer any, err error)
-	// QuorumAge returns how long ago this instance knew itself current with a quorum.
+	// QuorumAge returns the time since this instance was last known to be up to date with a quorum.
 	QuorumAge(now time.Time) time.Duration
-	// Leader returns the leader's name, empty when unknown.
+	// Leader returns the instance ID of the leader, empty when unknown.
 	Leader() InstanceID
 	// Peers returns the message addresses of the other members of the log.
 	Peers() []string
 }
 
-// ControlPlaceConfig builds a ControlPlace.
+// ControlPlaceConfig holds the arguments of NewControlPlace.
 type ControlPlaceConfig struct {
 	// Address is the IP address and port for messages.
 	Address string
-	// DataCentre is where the control instance runs.
+	// DataCentre is the data centre of the control instance.
 	DataCentre DataCentre
-	// Region is where the data centre is.
+	// Region is the region of the data centre.
 	Region Region
 }
 
-// ControlPlace says where a control instance runs and takes messages.
+// ControlPlace holds the location and message address of a control instance.
 type ControlPlace struct {
 	config ControlPlaceConfig
 }
 
-// NewControlPlace returns a place.
+// NewControlPlace returns an immutable location.
 func NewControlPlace(c ControlPlaceConfig) ControlPlace { return ControlPlace{config: c} }
 
 // Address returns the IP address and port for messages.
 func (p ControlPlace) Address() string { return p.config.Address }
 
-// DataCentre returns where the control instance runs.
+// DataCentre returns the data centre of the control instance.
 func (p ControlPlace) DataCentre() DataCentre { return p.config.DataCentre }
 
-// Region returns where the data centre is.
+// Region returns the region of the data centre.
 func (p ControlPlace) Region() Region { return p.config.Region }
 
-// Exchange follows the other control instances.
+// Exchange copies member registrations between control instances and tracks which of them respond.
 type Exchange interface {
 	Service
-	// Places returns the control instances that answered lately, this one included.
+	// Places returns the control instances that responded recently, including this one.
 	Places() []ControlPlace
 }
 
 // FindExchange finds the exchange of a control instance.
 func FindExchange(d Directory) (Exchange, error) {
-	return find[Exchange](d, ExchangeService)
+	return findService[Exchange](d, ExchangeService)
 }
 
-// Registry keeps the members that announced themselves to the control instances.
+// Registry holds the members that are registered with the control instances.
 type Registry interface {
 	Service
-	// Announce adds or renews a member that announced itself to this control instance, and that polled another one a time ago.
-	Announce(m *Member, elsewhere time.Duration)
-	// Merge replaces what changed among the members that announced themselves to another control instance.
+	// Announce adds or renews a member that polled this control instance. sinceElsewhere is the time since it polled another one.
+	Announce(m *Member, sinceElsewhere time.Duration)
+	// Merge applies a delta of the members registered with another control instance. If full is set, d replaces all of them.
 	Merge(source InstanceID, d MemberDelta, full bool)
-	// Drop forgets the members of a control instance that went silent.
+	// Drop removes the members of a control instance that no longer responds.
 	Drop(source InstanceID)
-	// ID returns the identity within which version numbers are comparable.
+	// ID returns the identifier of this registry. Version numbers are comparable only between deltas with the same ID.
 	ID() string
-	// Settled reports whether the registry has run long enough for every living member to have announced itself.
+	// Settled reports whether the registry has run long enough for every live member to have registered.
 	Settled(now time.Time) bool
-	// Count returns the number of members at all control instances.
+	// Count returns the number of members registered with any control instance.
 	Count() int
-	// Polling returns the number of members that have polled this control instance for a while and still do, and the
-	// greatest number at all control instances of late; a member that moves counts at none for a while.
+	// Polling returns the number of members that poll this control instance regularly, and the greatest recent number at
+	// all control instances. A member that changes control instance is briefly counted at neither.
 	Polling(now time.Time) (local, all int)
-	// Since returns what changed after a version, at all control instances.
+	// Since returns the changes after a version across all control instances.
 	Since(version uint64) MemberDelta
-	// LocalSince returns what changed after a version, at this control instance.
+	// LocalSince returns the changes after a version among the members that poll this control instance.
 	LocalSince(version uint64) MemberDelta
 }
--- a/doc.go
+++ b/doc.go
@@ -1,2 +1,2 @@
-// Package figpier holds the core types of the overload control layer and every interface behind which behaviour varies.
+// Package figpier defines the core types of the overload control layer and the interfaces of its services.
 package figpier
--- a/edit.go
+++ b/edit.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// EditKind says what an edit does.
+// EditKind is the type of change that an edit makes.
 type EditKind string
 
 // Kinds of edit.
@@ -15,13 +15,13 @@
 	EditReplaceTable  EditKind = "replace-table"
 )
 
-// EditConfig builds an Edit.
+// EditConfig holds the arguments of NewEdit.
 type EditConfig struct {
-	// Operation names the edit; a resend carries the same name.
+	// Operation identifies the edit. A resend carries the same ID, so that the edit is applied once.
 	Operation OperationID
-	// Kind says what the edit does.
+	// Kind selects the change and the fields that are used.
 	Kind EditKind
-	// Base is the revision of the edited object that the operator saw, 0 to create it; for a table it is the number of the one in force.
+	// Base is the revision of the object that the edit is based on, 0 to create it; for a table it is the number of the current one.
 	Base Revision
 	// Profile is the new profile of an EditApplyProfile.
 	Profile *Profile
@@ -31,27 +31,27 @@
 	Service UpstreamService
 	// Key is the key of an EditGiveKey.
 	Key *Key
-	// KeyID is the key of an EditWithdrawKey.
+	// KeyID is the identifier of the key of an EditWithdrawKey.
 	KeyID string
 	// Table is the routing table of an EditReplaceTable.
 	Table *Table
 }
 
-// Edit is one operator's change to the configuration.
+// Edit is a change to the configuration, submitted by an operator.
 type Edit struct {
 	config EditConfig
 }
 
-// NewEdit returns an edit.
+// NewEdit returns an immutable edit.
 func NewEdit(c EditConfig) *Edit { return &Edit{config: c} }
 
-// Operation returns the name of the edit.
+// Operation returns the identifier of the edit, which a resend repeats.
 func (e *Edit) Operation() OperationID { return e.config.Operation }
 
-// Kind returns what the edit does.
+// Kind returns the type of change.
 func (e *Edit) Kind() EditKind { return e.config.Kind }
 
-// Base returns the revision of the edited object that the operator saw.
+// Base returns the revision of the object that the edit is based on, 0 to create it.
 func (e *Edit) Base() Revision { return e.config.Base }
 
 // Profile returns the new profile of an EditApplyProfile.
@@ -66,7 +66,7 @@
 // Key returns the key of an EditGiveKey.
 func (e *Edit) Key() *Key { return e.config.Key }
 
-// KeyID returns the key of an EditWithdrawKey.
+// KeyID returns the identifier of the key of an EditWithdrawKey.
 func (e *Edit) KeyID() string { return e.config.KeyID }
 
 // Table returns the routing table of an EditReplaceTable.
@@ -77,10 +77,10 @@
 	current Revision
 }
 
-// NewConflictError returns the error that names the winner's revision.
+// NewConflictError returns an error with the object's current revision.
 func NewConflictError(current Revision) *ConflictError { return &ConflictError{current: current} }
 
-// Current returns the revision that the object has now, 0 when it does not exist.
+// Current returns the current revision of the object, 0 when it does not exist.
 func (e *ConflictError) Current() Revision { return e.current }
 
 // Error implements error.
@@ -93,18 +93,18 @@
 	detail string
 }
 
-// NewInvalidEditError returns the error with its cause.
+// NewInvalidEditError returns an error whose text is the detail.
 func NewInvalidEditError(detail string) *InvalidEditError { return &InvalidEditError{detail: detail} }
 
 // Error implements error.
 func (e *InvalidEditError) Error() string { return e.detail }
 
-// OutcomeUnknownError reports an edit that may or may not be accepted later.
+// OutcomeUnknownError reports an edit of which it is not known whether a quorum has accepted it or still will.
 type OutcomeUnknownError struct {
 	operation OperationID
 }
 
-// NewOutcomeUnknownError returns the error for an edit.
+// NewOutcomeUnknownError returns an error for the edit with the operation ID.
 func NewOutcomeUnknownError(o OperationID) *OutcomeUnknownError {
 	return &OutcomeUnknownError{operation: o}
 }
@@ -114,18 +114,18 @@
 	return fmt.Sprintf("the outcome of operation %q is unknown: resend it under the same operation id", string(e.operation))
 }
 
-// NotLeaderError reports an edit sent to an instance that does not lead.
+// NotLeaderError reports an edit sent to a control instance that is not the leader.
 type NotLeaderError struct {
 	leader InstanceID
 }
 
-// NewNotLeaderError returns the error with the leader's name, empty when unknown.
+// NewNotLeaderError returns an error with the instance ID of the leader, empty when unknown.
 func NewNotLeaderError(leader InstanceID) *NotLeaderError { return &NotLeaderError{leader: leader} }
 
-// Leader returns the leader's name, empty when unknown.
+// Leader returns the instance ID of the leader, empty when unknown.
 func (e *NotLeaderError) Leader() InstanceID { return e.leader }
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("this instance does not lead; the leader is %q", string(e.leader))
+	return fmt.Sprintf("this control instance is not the leader; the leader is %q", string(e.leader))
 }
--- a/exchange.go
+++ b/exchange.go
@@ -7,65 +7,65 @@
 	"time"
 )
 
-// InboundConfig builds an Inbound.
+// InboundConfig holds the arguments of NewInbound.
 type InboundConfig struct {
-	// ID is the caller's name for this attempt of its request.
+	// ID is the caller's identifier for this attempt.
 	ID RequestID
 	// Method is the HTTP method.
 	Method string
-	// Host is the host name that the request was sent to.
+	// Host is the host name from the request.
 	Host string
-	// Target is the path and query, byte for byte.
+	// Target is the path and query exactly as received.
 	Target string
-	// Path is the path without the query, byte for byte.
+	// Path is the path without the query, exactly as received.
 	Path string
-	// Key is the customer key that came with the request, empty for none.
+	// Key is the customer key sent with the request, empty for none.
 	Key string
-	// Remaining is how long the caller waits, 0 where it did not say.
+	// Remaining is the caller's timeout at the time of receipt, 0 when not given.
 	Remaining time.Duration
-	// Received is when the request arrived.
+	// Received is the time at which the request arrived.
 	Received time.Time
 	// Header holds the end-to-end headers to pass on.
 	Header http.Header
 	// Body is the request's body.
 	Body io.ReadCloser
-	// Length is the length of the body in bytes, -1 where it is not known.
+	// Length is the length of the body in bytes, -1 when unknown.
 	Length int64
 }
 
-// Inbound is a caller's request on its way to a backend server.
+// Inbound is an HTTP request to be forwarded to a backend server.
 type Inbound struct {
 	config InboundConfig
 }
 
-// NewInbound returns a request.
+// NewInbound returns a request whose fields do not change; the body can be read once.
 func NewInbound(c InboundConfig) *Inbound { return &Inbound{config: c} }
 
-// Config returns a copy to build another request from.
+// Config returns a copy of the arguments, from which a changed request can be built.
 func (i *Inbound) Config() InboundConfig { return i.config }
 
-// ID returns the caller's name for this attempt of its request.
+// ID returns the caller's identifier for this attempt.
 func (i *Inbound) ID() RequestID { return i.config.ID }
 
 // Method returns the HTTP method.
 func (i *Inbound) Method() string { return i.config.Method }
 
-// Host returns the host name that the request was sent to.
+// Host returns the host name from the request.
 func (i *Inbound) Host() string { return i.config.Host }
 
-// Target returns the path and query, byte for byte.
+// Target returns the path and query exactly as received.
 func (i *Inbound) Target() string { return i.config.Target }
 
-// Path returns the path without the query, byte for byte.
+// Path returns the path without the query, exactly as received.
 func (i *Inbound) Path() string { return i.config.Path }
 
-// Key returns the customer key that came with the request, empty for none.
+// Key returns the customer key sent with the request, empty for none.
 func (i *Inbound) Key() string { return i.config.Key }
 
-// Remaining returns how long the caller waits, 0 where it did not say.
+// Remaining returns the caller's timeout at the time of receipt, 0 when not given.
 func (i *Inbound) Remaining() time.Duration { return i.config.Remaining }
 
-// Received returns when the request arrived.
+// Received returns the time at which the request arrived.
 func (i *Inbound) Received() time.Time { return i.config.Received }
 
 // Header returns the end-to-end headers to pass on, which the caller must not change.
@@ -74,30 +74,30 @@
 // Body returns the request's body.
 func (i *Inbound) Body() io.ReadCloser { return i.config.Body }
 
-// Length returns the length of the body in bytes, -1 where it is not known.
+// Length returns the length of the body in bytes, -1 when unknown.
 func (i *Inbound) Length() int64 { return i.config.Length }
 
-// AnswerConfig builds an Answer.
+// AnswerConfig holds the arguments of NewAnswer.
 type AnswerConfig struct {
 	// Status is the HTTP status.
 	Status int
 	// Header holds the end-to-end headers.
 	Header http.Header
-	// Body streams the body; reading fails where the answer breaks off.
+	// Body streams the body. Read returns an error if the answer ends early.
 	Body io.ReadCloser
-	// Length is the length of the body in bytes, -1 where it is not known.
+	// Length is the length of the body in bytes, -1 when unknown.
 	Length int64
 }
 
-// Answer is a backend server's answer on its way to the caller; its reader closes the body.
+// Answer is an HTTP response from a backend server. Whoever receives it must close the body.
 type Answer struct {
 	config AnswerConfig
 }
 
-// NewAnswer returns an answer.
+// NewAnswer returns an answer whose fields do not change; the body can be read once.
 func NewAnswer(c AnswerConfig) *Answer { return &Answer{config: c} }
 
-// Config returns a copy to build another answer from.
+// Config returns a copy of the arguments, from which a changed answer can be built.
 func (a *Answer) Config() AnswerConfig { return a.config }
 
 // Status returns the HTTP status.
@@ -106,115 +106,115 @@
 // Header returns the end-to-end headers, which the caller must not change.
 func (a *Answer) Header() http.Header { return a.config.Header }
 
-// Body streams the body; reading fails where the answer breaks off.
+// Body streams the body. Read returns an error if the answer ends early.
 func (a *Answer) Body() io.ReadCloser { return a.config.Body }
 
-// Length returns the length of the body in bytes, -1 where it is not known.
+// Length returns the length of the body in bytes, -1 when unknown.
 func (a *Answer) Length() int64 { return a.config.Length }
 
-// Forwarder takes callers' requests to the nodes beside their backend servers.
+// Forwarder proxies callers' requests to the nodes of the backend servers that handle them.
 type Forwarder interface {
 	Service
-	// Forward returns the answer of a backend server, or a *Refusal.
+	// Forward sends a request and returns the answer of a backend server, or a *Refusal.
 	Forward(ctx context.Context, i *Inbound) (*Answer, error)
 }
 
-// Deliverer gives calls to the backend server beside this node.
+// Deliverer sends calls to the local backend server.
 type Deliverer interface {
 	Service
-	// Deliver returns the answer of the backend server, or a *Refusal.
+	// Deliver sends a request for a call and returns the answer of the backend server, or a *Refusal.
 	Deliver(ctx context.Context, c *Call, i *Inbound) (*Answer, error)
 }
 
-// Verdict says what a backend server's answer means.
+// Verdict classifies an answer of a backend server.
 type Verdict uint8
 
 // Verdicts on an answer.
 const (
-	// VerdictAnswer is an answer to the request.
+	// VerdictAnswer is a regular answer, to be passed on to the caller.
 	VerdictAnswer Verdict = iota
-	// VerdictFull is a statement that the request has not run because the backend server has no room.
+	// VerdictFull says that the backend server was at capacity and did not run the request.
 	VerdictFull
-	// VerdictNotRun is a statement that the request has not run.
+	// VerdictNotRun says that the backend server did not run the request for another reason.
 	VerdictNotRun
-	// VerdictForeign is an answer that does not belong to the request, which may have run.
+	// VerdictForeign is an answer to some other request; this one may have run.
 	VerdictForeign
 )
 
-// Dialect is how the backend server beside a node wants to be spoken to.
+// Dialect adapts calls and answers to the HTTP conventions of the local backend server.
 type Dialect interface {
 	Service
-	// Dress adds to a request's headers what the backend server expects, for a call that ends after the remaining time.
+	// Dress sets the request headers that the backend server expects. remaining is the time until the call's deadline.
 	Dress(h http.Header, c *Call, remaining time.Duration)
-	// Read returns what an answer to the call means.
+	// Read classifies an answer by its status and headers.
 	Read(status int, h http.Header, c *Call) Verdict
 }
 
-// Readiness tells whether a node takes new callers.
+// Readiness reports whether a node accepts new callers.
 type Readiness interface {
 	Service
-	// Ready reports whether the node can serve new callers now.
+	// Ready reports whether the node can serve new callers.
 	Ready() bool
-	// Leaving reports whether the node is being stopped and answers the last requests on its connections.
+	// Leaving reports whether the node is shutting down and only finishes the requests on open connections.
 	Leaving() bool
 }
 
-// AnnouncementConfig builds an Announcement.
+// AnnouncementConfig holds the arguments of NewAnnouncement.
 type AnnouncementConfig struct {
-	// Incarnation names one start of the backend server.
+	// Incarnation identifies one run of the backend server process.
 	Incarnation string
-	// Started is when the backend server started by its own clock, zero where it does not say.
+	// Started is the start time by the backend server's clock, zero when not given.
 	Started time.Time
 	// Sequence orders the announcements of one incarnation.
 	Sequence uint64
-	// Slots is the number of requests that the backend server runs at once.
+	// Slots is the number of requests that the backend server can run concurrently.
 	Slots int
-	// Draining says that the backend server takes no new work.
+	// Draining is set when the backend server accepts no new requests.
 	Draining bool
-	// WarmUp is how much longer the backend server is slow after its start.
+	// WarmUp is the remaining time during which the backend server is slow after its start.
 	WarmUp time.Duration
 }
 
-// Announcement is what a backend server says of itself.
+// Announcement is the state that a backend server reports to its node.
 type Announcement struct {
 	config AnnouncementConfig
 }
 
-// NewAnnouncement returns an announcement.
+// NewAnnouncement returns an immutable announcement.
 func NewAnnouncement(c AnnouncementConfig) Announcement { return Announcement{config: c} }
 
-// Incarnation returns the name of the backend server's start.
+// Incarnation returns the identifier of one run of the backend server process.
 func (a Announcement) Incarnation() string { return a.config.Incarnation }
 
-// Started returns when the backend server started by its own clock, zero where it does not say.
+// Started returns the start time by the backend server's clock, zero when not given.
 func (a Announcement) Started() time.Time { return a.config.Started }
 
-// Sequence returns the order of the announcement within its incarnation.
+// Sequence returns the number that orders the announcements of one incarnation.
 func (a Announcement) Sequence() uint64 { return a.config.Sequence }
 
-// Slots returns the number of requests that the backend server runs at once.
+// Slots returns the number of requests that the backend server can run concurrently.
 func (a Announcement) Slots() int { return a.config.Slots }
 
-// Draining reports whether the backend server takes no new work.
+// Draining reports whether the backend server accepts no new requests.
 func (a Announcement) Draining() bool { return a.config.Draining }
 
-// WarmUp returns how much longer the backend server is slow after its start.
+// WarmUp returns the remaining time during which the backend server is slow after its start.
 func (a Announcement) WarmUp() time.Duration { return a.config.WarmUp }
 
-// Announcements takes what the backend server beside a node says of itself.
+// Announcements receives the state reported by the local backend server.
 type Announcements interface {
 	Service
-	// Announce takes an announcement and returns once it is in force.
+	// Announce returns once the announced state is in use.
 	Announce(ctx context.Context, a Announcement) error
-	// Withdraw takes the word of an incarnation that it leaves, and returns once that is in force.
+	// Withdraw unregisters an incarnation that is shutting down, and returns once that has taken effect.
 	Withdraw(ctx context.Context, incarnation string, started time.Time) error
-	// Incarnation returns the name of the backend server's newest start, empty for none.
+	// Incarnation returns the identifier of the newest known run of the backend server, empty for none.
 	Incarnation() string
 }
 
-// SeedSource tells where control instances may be found.
+// SeedSource provides the addresses at which a process first looks for control instances.
 type SeedSource interface {
 	Service
-	// Seeds returns the message addresses of the settings as they are now.
+	// Seeds returns the message addresses in the current settings.
 	Seeds() []string
 }
--- a/link.go
+++ b/link.go
@@ -2,33 +2,33 @@
 
 import "context"
 
-// Method names a message between processes of the system.
+// Method is the name of a request between processes.
 type Method string
 
-// Decode fills a message from its encoded form.
+// Decode decodes the received request into message, which is a pointer.
 type Decode func(message any) error
 
-// MessageHandler answers a message from another process.
+// MessageHandler handles a request from another process and returns the answer to encode.
 type MessageHandler func(ctx context.Context, decode Decode) (answer any, err error)
 
-// Messenger exchanges messages with other processes of the system.
+// Messenger sends requests to other processes and serves those that they send.
 type Messenger interface {
 	Service
-	// Handle sets the handler of a method before the messenger starts.
+	// Handle sets the handler of a method. It must be called before the messenger starts.
 	Handle(m Method, h MessageHandler)
-	// Ask sends a message to an IP address and port and fills the answer.
+	// Ask sends a request to an IP address and port and decodes the response into answer, which is a pointer.
 	Ask(ctx context.Context, address string, m Method, message, answer any) error
 }
 
-// Methods that control instances answer.
+// Methods that control instances serve.
 const (
-	// MethodPoll asks a control instance for changes and renews the node's member.
+	// MethodPoll fetches changes from a control instance and renews the node's registration.
 	MethodPoll Method = "subscription.poll"
-	// MethodPool asks a control instance for a token of a customer's limit.
+	// MethodPool requests a token of a customer's rate limit from a control instance.
 	MethodPool Method = "pool.token"
-	// MethodTransfer asks another control instance for tokens of a customer's limit that it can spare.
+	// MethodTransfer requests unused tokens of a customer's rate limit from another control instance.
 	MethodTransfer Method = "pool.transfer"
-	// MethodMembers asks a control instance for the members that announced themselves to it.
+	// MethodMembers fetches the members that are registered with a control instance.
 	MethodMembers Method = "exchange.members"
 )
 
@@ -38,13 +38,13 @@
 	MethodReplica Method = "replica.message"
 	// MethodPropose forwards a command to the leader.
 	MethodPropose Method = "replica.propose"
-	// MethodProbe asks a control instance what it is and who leads.
+	// MethodProbe asks a control instance for its identity and the leader.
 	MethodProbe Method = "replica.probe"
-	// MethodJoin asks the leader to take a control instance in.
+	// MethodJoin asks the leader to add a control instance to the replicated log.
 	MethodJoin Method = "replica.join"
-	// MethodRemove asks the leader to take a control instance out for good.
+	// MethodRemove asks the leader to remove a control instance from the replicated log permanently.
 	MethodRemove Method = "replica.remove"
 )
 
-// MethodExplain asks a node which of its limits hold requests back.
+// MethodExplain asks a node which of its limits currently cause refusals.
 const MethodExplain Method = "explanation.view"
--- a/log.go
+++ b/log.go
@@ -1,20 +1,20 @@
 package figpier
 
-// LogService is the name under which the kernel knows the log of requests.
+// LogService is the name of the request log of a process.
 const LogService ServiceName = "host.log"
 
-// RequestLog explains what the process did with requests.
+// RequestLog records refusals, retries and attempts.
 type RequestLog interface {
 	Service
-	// Refused explains a refusal; the call is nil when the request was not let in.
+	// Refused logs a refusal. The call is nil when the request was refused before one was created.
 	Refused(c *Call, r *Refusal)
-	// Retried explains a retry, or why a failed attempt was not followed by another.
+	// Retried logs a retry, or the reason why an attempt was not retried.
 	Retried(c *Call, r RetryReason)
-	// Routed tells which member got an attempt, and how it ended: with a status, or 0 where no answer came.
+	// Routed logs the member that an attempt was sent to and its outcome. The status is 0 when there was no answer.
 	Routed(c *Call, m *Member, status int, o Outcome)
 }
 
-// FindRequestLog finds the log of requests of a process.
+// FindRequestLog finds the request log of a process.
 func FindRequestLog(d Directory) (RequestLog, error) {
-	return find[RequestLog](d, LogService)
+	return findService[RequestLog](d, LogService)
 }
--- a/lookup.go
+++ b/lookup.go
@@ -2,126 +2,126 @@
 
 // FindView finds the configuration view of a node.
 func FindView(d Directory) (ConfigurationView, error) {
-	return find[ConfigurationView](d, ConfigurationService)
+	return findService[ConfigurationView](d, ConfigurationService)
 }
 
-// FindGate finds the gate of a node.
+// FindGate finds the gate that decides which requests enter at a node.
 func FindGate(d Directory) (Gate, error) {
-	return find[Gate](d, GateService)
+	return findService[Gate](d, GateService)
 }
 
-// FindAdmission finds the admission of a node.
+// FindAdmission finds the admission control of a node.
 func FindAdmission(d Directory) (Admission, error) {
-	return find[Admission](d, AdmissionService)
+	return findService[Admission](d, AdmissionService)
 }
 
-// FindHandles finds the table of live calls of a node.
+// FindHandles finds the table of running calls of a node.
 func FindHandles(d Directory) (Handles, error) {
-	return find[Handles](d, HandleService)
+	return findService[Handles](d, HandleService)
 }
 
-// FindRouter finds the router of a node.
+// FindRouter finds the router for exit calls of a node.
 func FindRouter(d Directory) (Router, error) {
-	return find[Router](d, RouterService)
+	return findService[Router](d, RouterService)
 }
 
-// FindRetryJudge finds the retry judge of a node.
+// FindRetryJudge finds the retry policy of a node.
 func FindRetryJudge(d Directory) (RetryJudge, error) {
-	return find[RetryJudge](d, RetryService)
+	return findService[RetryJudge](d, RetryService)
 }
 
-// FindLimiter finds the limiter of a node.
+// FindLimiter finds the rate limiter of a node.
 func FindLimiter(d Directory) (Limiter, error) {
-	return find[Limiter](d, LimiterService)
+	return findService[Limiter](d, LimiterService)
 }
 
-// FindClaims finds the claims of a node.
+// FindClaims finds the claims on non-idempotent requests of a node.
 func FindClaims(d Directory) (Claims, error) {
-	return find[Claims](d, ClaimService)
+	return findService[Claims](d, ClaimService)
 }
 
-// FindBackend finds the backend server beside a node.
+// FindBackend finds the service that tracks the local backend server of a node.
 func FindBackend(d Directory) (Backend, error) {
-	return find[Backend](d, BackendService)
+	return findService[Backend](d, BackendService)
 }
 
 // FindCounters finds the counters of a process.
 func FindCounters(d Directory) (Counters, error) {
-	return find[Counters](d, CounterService)
+	return findService[Counters](d, CounterService)
 }
 
 // FindCatalog finds the catalog of a control instance.
 func FindCatalog(d Directory) (Catalog, error) {
-	return find[Catalog](d, CatalogService)
+	return findService[Catalog](d, CatalogService)
 }
 
 // FindLog finds the replicated log of a control instance.
 func FindLog(d Directory) (ReplicatedLog, error) {
-	return find[ReplicatedLog](d, ReplicaService)
+	return findService[ReplicatedLog](d, ReplicaService)
 }
 
 // FindRegistry finds the member registry of a control instance.
 func FindRegistry(d Directory) (Registry, error) {
-	return find[Registry](d, RegistryService)
+	return findService[Registry](d, RegistryService)
 }
 
 // FindMessenger finds the messenger of a process.
 func FindMessenger(d Directory) (Messenger, error) {
-	return find[Messenger](d, MessengerService)
+	return findService[Messenger](d, MessengerService)
 }
 
-// FindRunner finds the runner of a node.
+// FindRunner finds the runner of calls of a node.
 func FindRunner(d Directory) (Runner, error) {
-	return find[Runner](d, RunnerService)
+	return findService[Runner](d, RunnerService)
 }
 
-// FindCallServer finds the server of calls to the backend server beside a node.
+// FindCallServer finds the service that serves HTTP requests by calls at the local backend server of a node.
 func FindCallServer(d Directory) (CallServer, error) {
-	return find[CallServer](d, BackendService)
+	return findService[CallServer](d, BackendService)
 }
 
-// FindForwarder finds the forwarder of a node.
+// FindForwarder finds the proxy for callers' requests of a node.
 func FindForwarder(d Directory) (Forwarder, error) {
-	return find[Forwarder](d, ForwardService)
+	return findService[Forwarder](d, ForwardService)
 }
 
-// FindDeliverer finds the deliverer of a node.
+// FindDeliverer finds the service that sends calls to the local backend server of a node.
 func FindDeliverer(d Directory) (Deliverer, error) {
-	return find[Deliverer](d, DeliveryService)
+	return findService[Deliverer](d, DeliveryService)
 }
 
-// FindDialect finds the dialect of the backend server beside a node.
+// FindDialect finds the dialect of the local backend server of a node.
 func FindDialect(d Directory) (Dialect, error) {
-	return find[Dialect](d, DialectService)
+	return findService[Dialect](d, DialectService)
 }
 
-// FindReadiness finds the readiness of a node.
+// FindReadiness finds the readiness check of a node.
 func FindReadiness(d Directory) (Readiness, error) {
-	return find[Readiness](d, ReadinessService)
+	return findService[Readiness](d, ReadinessService)
 }
 
-// FindAnnouncements finds what takes the announcements of the backend server beside a node.
+// FindAnnouncements finds the service that receives the announcements of the local backend server of a node.
 func FindAnnouncements(d Directory) (Announcements, error) {
-	return find[Announcements](d, BackendService)
+	return findService[Announcements](d, BackendService)
 }
 
-// FindSeedSource finds the source of seeds of a process.
+// FindSeedSource finds the source of seed addresses of a process.
 func FindSeedSource(d Directory) (SeedSource, error) {
-	return find[SeedSource](d, SeedService)
+	return findService[SeedSource](d, SeedService)
 }
 
-// find returns the service of a name if it is of the expected kind.
-func find[T Service](d Directory, name ServiceName) (T, error) {
+// findService returns the service registered under the name, or an *UnknownServiceError if there is none of type T.
+func findService[T Service](d Directory, name ServiceName) (T, error) {
 	var none T
 	s, err := d.Find(name)
 	if err != nil {
 		return none, err
 	}
 	t, ok := s.(T)
-	return t, found(ok, name)
+	return t, checkType(ok, name)
 }
 
-func found(ok bool, name ServiceName) error {
+func checkType(ok bool, name ServiceName) error {
 	if ok {
 		return nil
 	}
--- a/member.go
+++ b/member.go
@@ -1,48 +1,48 @@
 package figpier
 
-// MemberConfig builds a Member.
+// MemberConfig holds the arguments of NewMember.
 type MemberConfig struct {
-	// Instance names the node.
+	// Instance identifies the node.
 	Instance InstanceID
-	// Service is the service that the node's backend server runs.
+	// Service is the service that the node's backend server implements.
 	Service UpstreamService
-	// DataCentre is where the node runs.
+	// DataCentre is the data centre of the node.
 	DataCentre DataCentre
-	// Region is where the data centre is.
+	// Region is the region of the data centre.
 	Region Region
 	// PeerAddress is the IP address and port of the node's peer listener.
 	PeerAddress string
 	// MessageAddress is the IP address and port for messages between processes.
 	MessageAddress string
-	// Slots is the number of requests that the backend server says it runs at once.
+	// Slots is the number of concurrent requests that the backend server has announced.
 	Slots int
-	// Draining says that the member takes no new work.
+	// Draining is set when the member accepts no new calls.
 	Draining bool
 	// Sequence orders the announcements of one instance.
 	Sequence uint64
 }
 
-// Member is a node with the backend server that it runs beside.
+// Member is a node and its local backend server, as registered with the control instances.
 type Member struct {
 	config MemberConfig
 }
 
-// NewMember returns a member.
+// NewMember returns an immutable member.
 func NewMember(c MemberConfig) *Member { return &Member{config: c} }
 
-// Config returns a copy to build another announcement from.
+// Config returns a copy of the arguments, from which a changed member can be built.
 func (m *Member) Config() MemberConfig { return m.config }
 
-// Instance returns the name of the node.
+// Instance returns the identifier of the node.
 func (m *Member) Instance() InstanceID { return m.config.Instance }
 
-// Service returns the service that the backend server runs.
+// Service returns the service that the backend server implements.
 func (m *Member) Service() UpstreamService { return m.config.Service }
 
-// DataCentre returns where the node runs.
+// DataCentre returns the data centre of the node.
 func (m *Member) DataCentre() DataCentre { return m.config.DataCentre }
 
-// Region returns where the data centre is.
+// Region returns the region of the data centre.
 func (m *Member) Region() Region { return m.config.Region }
 
 // PeerAddress returns the IP address and port of the peer listener.
@@ -51,28 +51,28 @@
 // MessageAddress returns the IP address and port for messages between processes.
 func (m *Member) MessageAddress() string { return m.config.MessageAddress }
 
-// Slots returns the number of requests that the backend server says it runs at once.
+// Slots returns the number of concurrent requests that the backend server has announced.
 func (m *Member) Slots() int { return m.config.Slots }
 
-// Draining reports whether the member takes no new work.
+// Draining reports whether the member accepts no new calls.
 func (m *Member) Draining() bool { return m.config.Draining }
 
-// Sequence returns the order of the announcement.
+// Sequence returns the number that orders the announcements of one instance.
 func (m *Member) Sequence() uint64 { return m.config.Sequence }
 
-// MemberDeltaConfig builds a MemberDelta.
+// MemberDeltaConfig holds the arguments of NewMemberDelta.
 type MemberDeltaConfig struct {
-	// Version is the version that the delta leads to.
+	// Version is the registry version after the delta.
 	Version uint64
-	// Members are the members that were added or changed.
+	// Members holds the members that were added or changed.
 	Members []*Member
-	// Gone are the members that ended.
+	// Gone holds the members that were removed.
 	Gone []InstanceID
-	// Changed closes at the next change.
+	// Changed is closed at the next change to the registry.
 	Changed <-chan struct{}
 }
 
-// MemberDelta is what changed in a registry after a version.
+// MemberDelta holds the changes to a registry after a version.
 type MemberDelta struct {
 	config MemberDeltaConfig
 }
@@ -80,14 +80,14 @@
 // NewMemberDelta returns a delta.
 func NewMemberDelta(c MemberDeltaConfig) MemberDelta { return MemberDelta{config: c} }
 
-// Version returns the version that the delta leads to.
+// Version returns the registry version after the delta.
 func (d MemberDelta) Version() uint64 { return d.config.Version }
 
 // Members returns the members that were added or changed.
 func (d MemberDelta) Members() []*Member { return d.config.Members }
 
-// Gone returns the members that ended.
+// Gone returns the members that were removed.
 func (d MemberDelta) Gone() []InstanceID { return d.config.Gone }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change to the registry.
 func (d MemberDelta) Changed() <-chan struct{} { return d.config.Changed }
--- a/names.go
+++ b/names.go
@@ -1,6 +1,6 @@
 package figpier
 
-// ServiceName is the name under which the kernel knows one service of a process.
+// ServiceName is the name under which a service of a process is registered.
 type ServiceName string
 
 // Names of the services of a process.
@@ -38,35 +38,35 @@
 	ReadinessService      ServiceName = "traffic.readiness"
 )
 
-// UpstreamService names a service of the call graph, such as "roster" or "booking".
+// UpstreamService is the name of a service that backend servers implement, such as "roster" or "booking".
 type UpstreamService string
 
-// CustomerID names a customer.
+// CustomerID identifies a customer.
 type CustomerID string
 
-// ProfileName names a profile.
+// ProfileName is the name of a profile.
 type ProfileName string
 
-// InstanceID names one instance for the life of its process.
+// InstanceID identifies a node or control instance for the lifetime of its process.
 type InstanceID string
 
-// DataCentre names a data centre.
+// DataCentre is the name of a data centre.
 type DataCentre string
 
-// Region names a region of data centres.
+// Region is the name of a group of nearby data centres.
 type Region string
 
-// RequestID names a whole request at every hop.
+// RequestID identifies an end-to-end request at every hop.
 type RequestID string
 
-// OperationID names an operator's edit, so that a resend of it gets the first answer.
+// OperationID identifies an operator's edit, so that a resend gets the first answer and is not applied twice.
 type OperationID string
 
-// IdempotencyKey is the caller's name for one non-idempotent request.
+// IdempotencyKey is the caller's identifier for one non-idempotent request, shared by its resends.
 type IdempotencyKey string
 
-// Handle is the opaque name of a live request that a backend server presents with its exit calls.
+// Handle is an opaque token for a running call. A backend server sends it with its exit calls.
 type Handle string
 
-// Revision numbers the accepted configurations in ascending order.
+// Revision is the number of an accepted configuration. It rises with each accepted edit.
 type Revision uint64
--- a/overload.go
+++ b/overload.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Refused reports whether a request of the rank is refused by a cut-off, where MaxRank stands for none.
+// Refused reports whether a cut-off refuses requests of the rank. A cut-off of MaxRank refuses nothing.
 func (r Rank) Refused(cutOff Rank) bool { return cutOff != MaxRank && r >= cutOff }
 
-// Ranker gives each whole request its place in the order of shedding.
+// Ranker assigns each request its rank when it enters.
 type Ranker interface {
 	Service
-	// Rank counts a request of a customer with a fair-share weight, and returns its rank.
+	// Rank returns the rank of a request and counts it towards the customer's demand. weight is the customer's fair-share weight.
 	Rank(id RequestID, c CustomerID, weight float64, p PriorityClass) Rank
-	// Served tells the service time of a customer's request.
+	// Served records the service time of a customer's request.
 	Served(c CustomerID, elapsed time.Duration)
 }
 
-// CutOffs keeps the cut-offs of the hops below this one, by the route of a call.
+// CutOffs stores the cut-offs that downstream nodes report, by the route of the call.
 type CutOffs interface {
 	Service
-	// Learn takes in the cut-off that a call met below this node, MaxRank for none.
+	// Learn records the cut-off that a call met downstream, MaxRank for none.
 	Learn(c *Call, cutOff Rank)
-	// CutOff returns the lowest rank of the call's route that would be refused below this node, MaxRank when none is.
+	// CutOff returns the lowest rank that is refused downstream on the call's route, MaxRank when none is.
 	CutOff(c *Call) Rank
 }
 
-// LimitKind says which limit holds requests back.
+// LimitKind is the kind of a limit that causes refusals.
 type LimitKind string
 
 // Kinds of limit.
@@ -34,71 +34,71 @@
 	LimitEjection    LimitKind = "ejection"
 )
 
-// BindingConfig builds a Binding.
+// BindingConfig holds the arguments of NewBinding.
 type BindingConfig struct {
-	// Kind says which limit binds.
+	// Kind is the kind of limit.
 	Kind LimitKind
-	// Service is the service whose calls are held back.
+	// Service is the service whose calls are refused.
 	Service UpstreamService
-	// Customer is whose requests are held back, empty on open routes and where all are.
+	// Customer is the customer whose requests are refused, empty on open routes and when all are.
 	Customer CustomerID
-	// Place is the route or member at which the limit binds, empty for the whole service.
+	// Place is the route or member that the limit applies to, empty for the whole service.
 	Place string
-	// Since is when it began.
+	// Since is the time from which the limit has been in effect.
 	Since time.Time
-	// Count is the number of refusals since then.
+	// Count is the number of refusals since that time.
 	Count int
 	// Limit is the value of the limit, in the unit of its kind.
 	Limit float64
 }
 
-// Binding is a limit that now holds requests back.
+// Binding describes a limit that is currently causing refusals.
 type Binding struct {
 	config BindingConfig
 }
 
-// NewBinding returns a binding.
+// NewBinding returns an immutable binding.
 func NewBinding(c BindingConfig) Binding { return Binding{config: c} }
 
-// Kind returns which limit binds.
+// Kind returns the kind of limit.
 func (b Binding) Kind() LimitKind { return b.config.Kind }
 
-// Service returns the service whose calls are held back.
+// Service returns the service whose calls are refused.
 func (b Binding) Service() UpstreamService { return b.config.Service }
 
-// Customer returns whose requests are held back, empty on open routes and where all are.
+// Customer returns the customer whose requests are refused, empty on open routes and when all are.
 func (b Binding) Customer() CustomerID { return b.config.Customer }
 
-// Place returns the route or member at which the limit binds, empty for the whole service.
+// Place returns the route or member that the limit applies to, empty for the whole service.
 func (b Binding) Place() string { return b.config.Place }
 
-// Since returns when the limit began to bind.
+// Since returns the time from which the limit has been in effect.
 func (b Binding) Since() time.Time { return b.config.Since }
 
-// Count returns the number of refusals since then.
+// Count returns the number of refusals since that time.
 func (b Binding) Count() int { return b.config.Count }
 
 // Limit returns the value of the limit, in the unit of its kind.
 func (b Binding) Limit() float64 { return b.config.Limit }
 
-// Explainer is a service that can say which of its limits hold requests back.
+// Explainer is a service that reports which of its limits are causing refusals.
 type Explainer interface {
 	Service
-	// Bindings returns the limits that bind now.
+	// Bindings returns the limits that are causing refusals at the given time.
 	Bindings(now time.Time) []Binding
 }
 
 // FindRanker finds the ranker of a node.
 func FindRanker(d Directory) (Ranker, error) {
-	return find[Ranker](d, RankService)
+	return findService[Ranker](d, RankService)
 }
 
-// FindCutOffs finds the cut-offs of a node.
+// FindCutOffs finds the store of downstream cut-offs of a node.
 func FindCutOffs(d Directory) (CutOffs, error) {
-	return find[CutOffs](d, CutOffService)
+	return findService[CutOffs](d, CutOffService)
 }
 
-// FindExplainer finds the service that gathers what all explainers of a node say.
+// FindExplainer finds the service that combines the bindings of all explainers of a node.
 func FindExplainer(d Directory) (Explainer, error) {
-	return find[Explainer](d, ExplanationService)
+	return findService[Explainer](d, ExplanationService)
 }
--- a/path.go
+++ b/path.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// SafePath reports whether every server reads a decoded path in the same way: it is absolute and has
-// no empty or dot segment, no backslash, no control character and nothing that decodes once more to one of these.
+// SafePath reports whether all servers interpret a decoded path alike: it is absolute and has
+// no empty or dot segment, no backslash, no control character and no escape that decodes to one of these.
 func SafePath(path string) bool {
 	if !strings.HasPrefix(path, "/") {
 		return false
 	}
-	if strings.ContainsFunc(path, unsafeRune) || encodedAgain(path) {
+	if strings.ContainsFunc(path, isUnsafeRune) || hasDecodableEscape(path) {
 		return false
 	}
 	rest := path[1:]
 	for {
 		segment, after, more := strings.Cut(rest, "/")
-		if more && segment == "" || dotSegment(segment) {
+		if more && segment == "" || isDotSegment(segment) {
 			return false
 		}
 		if !more {
@@ -24,16 +24,16 @@
 	}
 }
 
-func unsafeRune(r rune) bool { return r == '\\' || r < ' ' || r == 0x7f }
+func isUnsafeRune(r rune) bool { return r == '\\' || r < ' ' || r == 0x7f }
 
-// dotSegment reports whether a server may take the segment, without its parameters, for "." or "..".
-func dotSegment(segment string) bool {
+// isDotSegment reports whether a server may take the segment, without its parameters, for "." or "..".
+func isDotSegment(segment string) bool {
 	name, _, _ := strings.Cut(segment, ";")
 	return name == "." || name == ".."
 }
 
-// encodedAgain reports whether the path has an escape that a server which decodes twice would act on.
-func encodedAgain(path string) bool {
+// hasDecodableEscape reports whether the decoded path has an escape left that changes the path for a server that decodes again.
+func hasDecodableEscape(path string) bool {
 	if !strings.Contains(path, "%") {
 		return false
 	}
--- a/refusal.go
+++ b/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RefusalReason says why a request was refused.
+// RefusalReason identifies why a request was refused.
 type RefusalReason string
 
 // Refusal reasons.
@@ -42,7 +42,7 @@
 	RefusalGivenUp        RefusalReason = "given-up"
 )
 
-// RefusalKind is a row of the table of refusal reasons.
+// RefusalKind is an entry in the table of refusal reasons.
 type RefusalKind struct {
 	reason RefusalReason
 	status int
@@ -50,16 +50,16 @@
 	text   string
 }
 
-// Reason returns the reason of the row.
+// Reason returns the reason that the entry is for.
 func (k RefusalKind) Reason() RefusalReason { return k.reason }
 
-// Status returns the HTTP status of the row.
+// Status returns the HTTP status sent to the caller.
 func (k RefusalKind) Status() int { return k.status }
 
-// NotRun reports whether the reason by itself proves that no backend server ran the request.
+// NotRun reports whether the reason alone proves that no backend server ran the request.
 func (k RefusalKind) NotRun() bool { return k.notRun }
 
-// Text returns the explanation with its hint.
+// Text returns the explanation sent to the caller.
 func (k RefusalKind) Text() string { return k.text }
 
 var refusalKinds = []RefusalKind{
@@ -94,10 +94,10 @@
 	{RefusalGivenUp, http.StatusServiceUnavailable, true, "the caller went away before the request was run"},
 }
 
-// RefusalKinds returns the table of refusal reasons in a fixed order.
+// RefusalKinds returns a copy of the table of refusal reasons, in a fixed order.
 func RefusalKinds() []RefusalKind { return append([]RefusalKind(nil), refusalKinds...) }
 
-// Refusal is the typed answer to a request that got no whole answer.
+// Refusal is the error for a request that has no complete answer from a backend server.
 type Refusal struct {
 	kind       RefusalKind
 	notRun     bool
@@ -105,21 +105,21 @@
 	retryAfter time.Duration
 }
 
-// RefusalConfig builds a Refusal.
+// RefusalConfig holds the arguments of NewRefusal.
 type RefusalConfig struct {
-	// Reason says why.
+	// Reason is the reason for the refusal.
 	Reason RefusalReason
-	// RanSomewhere takes the "not run" mark away although the reason alone would give it.
+	// RanSomewhere clears the "not run" mark that the reason would set. It goes before ProvenNotRun.
 	RanSomewhere bool
-	// ProvenNotRun gives the "not run" mark although the reason alone would not.
+	// ProvenNotRun sets the "not run" mark that the reason alone would not.
 	ProvenNotRun bool
-	// Detail is added to the explanation.
+	// Detail is appended to the explanation in parentheses.
 	Detail string
-	// RetryAfter tells the caller when another attempt may succeed, 0 when unknown.
+	// RetryAfter is the time after which a retry may succeed, 0 when unknown.
 	RetryAfter time.Duration
 }
 
-// NewRefusal returns a refusal.
+// NewRefusal returns a refusal. A reason that is not in the table gets status 502 and no "not run" mark.
 func NewRefusal(c RefusalConfig) *Refusal {
 	for _, k := range refusalKinds {
 		if k.reason == c.Reason {
@@ -131,19 +131,19 @@
 	return &Refusal{kind: unknown, detail: c.Detail, retryAfter: c.RetryAfter}
 }
 
-// Refuse returns a refusal for a reason alone.
+// Refuse returns a refusal with a reason and no other arguments.
 func Refuse(r RefusalReason) *Refusal { return NewRefusal(RefusalConfig{Reason: r}) }
 
-// Reason returns why.
+// Reason returns the reason for the refusal.
 func (r *Refusal) Reason() RefusalReason { return r.kind.reason }
 
 // Status returns the HTTP status.
 func (r *Refusal) Status() int { return r.kind.status }
 
-// NotRun reports whether no backend server ran any part of the request.
+// NotRun reports whether it is certain that no backend server ran any part of the request.
 func (r *Refusal) NotRun() bool { return r.notRun }
 
-// RetryAfter returns when another attempt may succeed, 0 when unknown.
+// RetryAfter returns the time after which a retry may succeed, 0 when unknown.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
 // Error implements error.
--- a/set.go
+++ b/set.go
@@ -1,11 +1,11 @@
 package figpier
 
-// Set is a set of small values.
+// Set is an immutable set.
 type Set[T comparable] struct {
 	members map[T]struct{}
 }
 
-// NewSet returns a set of the values.
+// NewSet returns a set of the given values.
 func NewSet[T comparable](values ...T) Set[T] {
 	s := Set[T]{members: make(map[T]struct{}, len(values))}
 	for _, v := range values {
@@ -20,7 +20,7 @@
 	return ok
 }
 
-// With returns a set with one value more.
+// With returns a copy of the set with one value added.
 func (s Set[T]) With(v T) Set[T] {
 	return NewSet(append(s.Values(), v)...)
 }
--- a/staleness.go
+++ b/staleness.go
@@ -1,13 +1,13 @@
 package figpier
 
-// Staleness tells when a node's view is too old to go on with requests that came with a key.
+// Staleness notifies when a node's configuration is too old to continue requests with customer keys.
 type Staleness interface {
 	Service
-	// WhenStale runs a function on the control thread each time the view has become too old.
+	// WhenStale registers a function that runs on the control thread each time the configuration becomes too old.
 	WhenStale(f func())
 }
 
-// FindStaleness finds the staleness of a node's view.
+// FindStaleness finds the service that detects stale configuration on a node.
 func FindStaleness(d Directory) (Staleness, error) {
-	return find[Staleness](d, ConfigurationService)
+	return findService[Staleness](d, ConfigurationService)
 }
--- a/table.go
+++ b/table.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// RoutePartConfig builds a RoutePart.
+// RoutePartConfig holds the arguments of NewRoutePart.
 type RoutePartConfig struct {
-	// Service takes this part of a route's requests.
+	// Service is the service that receives this share of the requests.
 	Service UpstreamService
-	// Weight is the part's share among the weights of its route.
+	// Weight is the share, relative to the sum of the weights of the route.
 	Weight float64
 }
 
@@ -20,131 +20,131 @@
 	config RoutePartConfig
 }
 
-// NewRoutePart returns a part.
+// NewRoutePart returns an immutable part.
 func NewRoutePart(c RoutePartConfig) RoutePart { return RoutePart{config: c} }
 
-// Service returns the service that takes this part of a route's requests.
+// Service returns the service that receives this share of the requests.
 func (p RoutePart) Service() UpstreamService { return p.config.Service }
 
-// Weight returns the part's share among the weights of its route.
+// Weight returns the share, relative to the sum of the weights of the route.
 func (p RoutePart) Weight() float64 { return p.config.Weight }
 
-// HostRouteConfig builds a HostRoute.
+// HostRouteConfig holds the arguments of NewHostRoute.
 type HostRouteConfig struct {
-	// Name names the route.
+	// Name identifies the route in the table.
 	Name string
-	// Host is the host name that requests are sent to.
+	// Host is the host name to match, regardless of case.
 	Host string
-	// PathPrefix begins the paths of the route; it begins and ends with a slash.
+	// PathPrefix is the path prefix to match, which begins and ends with a slash.
 	PathPrefix string
-	// Idempotent says that a request may run more than once.
+	// Idempotent marks requests that may safely run more than once.
 	Idempotent bool
-	// Timeout is the longest time until a request has its final answer.
+	// Timeout is the maximum time until the final answer.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most to its caller.
+	// Target is the target latency.
 	Target time.Duration
 	// Priority is the class of the route's requests.
 	Priority PriorityClass
-	// Attempts is the greatest number of backend servers that one request may be sent to.
+	// Attempts is the maximum number of backend servers that one request may be sent to.
 	Attempts int
-	// Open says that a request needs no key.
+	// Open marks requests that need no customer key.
 	Open bool
-	// Parts are the services that share the route's requests.
+	// Parts divides the requests of the route between services.
 	Parts []RoutePart
 }
 
-// HostRoute states where the requests to a host and path prefix go, and how they are treated.
+// HostRoute holds the destinations and settings for requests to a host and path prefix.
 type HostRoute struct {
 	config HostRouteConfig
 }
 
-// NewHostRoute returns an immutable route, which owns the slices of its configuration from then on.
+// NewHostRoute returns an immutable route. It takes ownership of the slices in c.
 func NewHostRoute(c HostRouteConfig) *HostRoute { return &HostRoute{config: c} }
 
-// Name returns the route's name.
+// Name returns the name that identifies the route in the table.
 func (r *HostRoute) Name() string { return r.config.Name }
 
-// Host returns the host name that requests are sent to.
+// Host returns the host name to match, regardless of case.
 func (r *HostRoute) Host() string { return r.config.Host }
 
-// PathPrefix returns what begins the paths of the route.
+// PathPrefix returns the path prefix to match, which begins and ends with a slash.
 func (r *HostRoute) PathPrefix() string { return r.config.PathPrefix }
 
-// Idempotent reports whether a request may run more than once.
+// Idempotent reports whether requests may safely run more than once.
 func (r *HostRoute) Idempotent() bool { return r.config.Idempotent }
 
-// Timeout returns the longest time until a request has its final answer.
+// Timeout returns the maximum time until the final answer.
 func (r *HostRoute) Timeout() time.Duration { return r.config.Timeout }
 
-// Target returns the time within which an answer is worth most to its caller.
+// Target returns the target latency.
 func (r *HostRoute) Target() time.Duration { return r.config.Target }
 
 // Priority returns the class of the route's requests.
 func (r *HostRoute) Priority() PriorityClass { return r.config.Priority }
 
-// Attempts returns the greatest number of backend servers that one request may be sent to.
+// Attempts returns the maximum number of backend servers that one request may be sent to.
 func (r *HostRoute) Attempts() int { return r.config.Attempts }
 
-// Open reports whether a request needs no key.
+// Open reports whether requests need no customer key.
 func (r *HostRoute) Open() bool { return r.config.Open }
 
 // Parts returns the services that share the route's requests, which the caller must not change.
 func (r *HostRoute) Parts() []RoutePart { return r.config.Parts }
 
-// TableServiceConfig builds a TableService.
+// TableServiceConfig holds the arguments of NewTableService.
 type TableServiceConfig struct {
-	// Name names the service.
+	// Name is the name of the service.
 	Name UpstreamService
-	// HealthPath is the path at which a backend server tells its health.
+	// HealthPath is the path of the health check of its backend servers.
 	HealthPath string
-	// MaxConnections is the greatest number of connections that a backend server takes from all nodes together.
+	// MaxConnections is the maximum number of connections from all nodes together to one backend server.
 	MaxConnections int
 }
 
-// TableService is a service as the routing table describes it.
+// TableService holds the settings of a service in the routing table.
 type TableService struct {
 	config TableServiceConfig
 }
 
-// NewTableService returns a service.
+// NewTableService returns an immutable service.
 func NewTableService(c TableServiceConfig) *TableService { return &TableService{config: c} }
 
 // Name returns the service's name.
 func (s *TableService) Name() UpstreamService { return s.config.Name }
 
-// HealthPath returns the path at which a backend server tells its health.
+// HealthPath returns the path of the health check of its backend servers.
 func (s *TableService) HealthPath() string { return s.config.HealthPath }
 
-// MaxConnections returns the greatest number of connections that a backend server takes from all nodes together.
+// MaxConnections returns the maximum number of connections from all nodes together to one backend server.
 func (s *TableService) MaxConnections() int { return s.config.MaxConnections }
 
-// AccountConfig builds an Account.
+// AccountConfig holds the arguments of NewAccount.
 type AccountConfig struct {
-	// Customer is whose account it is.
+	// Customer is the owner of the account.
 	Customer CustomerID
 	// Keys are the digests of the customer's keys.
 	Keys []KeyDigest
-	// Priority is the class of the customer's requests, which goes before the route's; nil for the route's alone.
+	// Priority overrides the priority class of the route for the customer's requests. It is nil for no override.
 	Priority *PriorityClass
-	// Limit is the most that the customer may ask of all services together; a rate of 0 is no limit.
+	// Limit is the rate limit of the customer over all services together. A rate of 0 is no limit.
 	Limit Limit
 }
 
-// Account is a customer as the routing table describes it.
+// Account holds the keys and settings of a customer in the routing table.
 type Account struct {
 	config AccountConfig
 }
 
-// NewAccount returns an immutable account, which owns the slices of its configuration from then on.
+// NewAccount returns an immutable account. It takes ownership of the slices in c.
 func NewAccount(c AccountConfig) *Account { return &Account{config: c} }
 
-// Customer returns whose account it is.
+// Customer returns the owner of the account.
 func (a *Account) Customer() CustomerID { return a.config.Customer }
 
 // Keys returns the digests of the customer's keys, which the caller must not change.
 func (a *Account) Keys() []KeyDigest { return a.config.Keys }
 
-// Priority returns the class of the customer's requests, false where the route's alone counts.
+// Priority returns the class that overrides that of the route, false for no override.
 func (a *Account) Priority() (PriorityClass, bool) {
 	if a.config.Priority == nil {
 		return 0, false
@@ -152,124 +152,124 @@
 	return *a.config.Priority, true
 }
 
-// Limit returns the most that the customer may ask of all services together; a rate of 0 is no limit.
+// Limit returns the rate limit of the customer over all services together. A rate of 0 is no limit.
 func (a *Account) Limit() Limit { return a.config.Limit }
 
-// CallerLimitsConfig builds CallerLimits.
+// CallerLimitsConfig holds the arguments of NewCallerLimits.
 type CallerLimitsConfig struct {
-	// HeaderBytes is the greatest size of a request's head, 0 for the listener's default.
+	// HeaderBytes is the maximum size in bytes of a request's header section, 0 for the listener's default.
 	HeaderBytes int
-	// BodyBytes is the greatest size of a request's body, 0 for none.
+	// BodyBytes is the maximum size in bytes of a request's body, 0 for no limit.
 	BodyBytes int64
-	// HeaderTimeout is how long a caller may take to send a head, 0 for the listener's default.
+	// HeaderTimeout is the maximum time to receive the header section, 0 for the listener's default.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a caller may keep an idle connection, 0 for the listener's default.
+	// IdleTimeout is the maximum time that a connection may be idle, 0 for the listener's default.
 	IdleTimeout time.Duration
 }
 
-// CallerLimits bound what a caller may send and how long it may take.
+// CallerLimits bounds the size and duration of what callers send.
 type CallerLimits struct {
 	config CallerLimitsConfig
 }
 
-// NewCallerLimits returns limits.
+// NewCallerLimits returns immutable limits.
 func NewCallerLimits(c CallerLimitsConfig) CallerLimits { return CallerLimits{config: c} }
 
-// Config returns a copy to encode.
+// Config returns a copy of the arguments, for encoding.
 func (l CallerLimits) Config() CallerLimitsConfig { return l.config }
 
-// HeaderBytes returns the greatest size of a request's head, 0 for the listener's default.
+// HeaderBytes returns the maximum size in bytes of a request's header section, 0 for the listener's default.
 func (l CallerLimits) HeaderBytes() int { return l.config.HeaderBytes }
 
-// HeaderTimeout returns how long a caller may take to send a head, 0 for the listener's default.
+// HeaderTimeout returns the maximum time to receive the header section, 0 for the listener's default.
 func (l CallerLimits) HeaderTimeout() time.Duration { return l.config.HeaderTimeout }
 
-// IdleTimeout returns how long a caller may keep an idle connection, 0 for the listener's default.
+// IdleTimeout returns the maximum time that a connection may be idle, 0 for the listener's default.
 func (l CallerLimits) IdleTimeout() time.Duration { return l.config.IdleTimeout }
 
-// BodyBytes returns the greatest size of a request's body, 0 for no limit.
+// BodyBytes returns the maximum size in bytes of a request's body, 0 for no limit.
 func (l CallerLimits) BodyBytes() int64 { return l.config.BodyBytes }
 
-// TableConfig builds a Table.
+// TableConfig holds the arguments of NewTable.
 type TableConfig struct {
-	// Number is the operator's number of the table, which goes up with each one.
+	// Number is the version that the operator gave the table, which rises with each table.
 	Number uint64
-	// Revision is the configuration revision that brought the table.
+	// Revision is the configuration revision that introduced the table.
 	Revision Revision
-	// Routes are the routes in any order.
+	// Routes holds the routes in any order.
 	Routes []*HostRoute
-	// Services are the services in any order.
+	// Services holds the services in any order.
 	Services []*TableService
-	// Accounts are the customers in any order; where there are none, no request needs a key.
+	// Accounts holds the customers in any order. When it is empty, no request needs a key.
 	Accounts []*Account
-	// Limits bound what callers may send.
+	// Limits bounds the size and duration of what callers send.
 	Limits CallerLimits
-	// Document is the operator's own text of the table, empty at nodes.
+	// Document is the table as the operator submitted it, empty on nodes.
 	Document []byte
 }
 
-// Table is the routing table: one whole configuration of hosts, services and customers.
+// Table is the routing table, which holds the settings of all hosts, services and customers.
 type Table struct {
-	config   TableConfig
-	hosts    map[string][]*HostRoute
-	accounts map[KeyDigest]*Account
-	names    map[CustomerID]*Account
+	config             TableConfig
+	routesByHost       map[string][]*HostRoute
+	accountsByKey      map[KeyDigest]*Account
+	accountsByCustomer map[CustomerID]*Account
 }
 
-// NewTable returns an immutable table, which owns the slices of its configuration from then on.
+// NewTable returns an immutable table. It takes ownership of the slices in c.
 func NewTable(c TableConfig) *Table {
 	t := &Table{
-		config:   c,
-		hosts:    map[string][]*HostRoute{},
-		accounts: map[KeyDigest]*Account{},
-		names:    map[CustomerID]*Account{},
+		config:             c,
+		routesByHost:       map[string][]*HostRoute{},
+		accountsByKey:      map[KeyDigest]*Account{},
+		accountsByCustomer: map[CustomerID]*Account{},
 	}
 	for _, r := range c.Routes {
 		host := strings.ToLower(r.Host())
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, list := range t.hosts {
+	for _, list := range t.routesByHost {
 		slices.SortStableFunc(list, func(a, b *HostRoute) int { return cmp.Compare(len(b.PathPrefix()), len(a.PathPrefix())) })
 	}
 	for _, a := range c.Accounts {
-		t.names[a.Customer()] = a
+		t.accountsByCustomer[a.Customer()] = a
 		for _, d := range a.Keys() {
-			t.accounts[d] = a
+			t.accountsByKey[d] = a
 		}
 	}
 	return t
 }
 
-// Config returns a copy to encode or to build another table from.
+// Config returns a copy of the arguments, for encoding or building a changed table.
 func (t *Table) Config() TableConfig { return t.config }
 
-// Number returns the operator's number of the table.
+// Number returns the version that the operator gave the table.
 func (t *Table) Number() uint64 { return t.config.Number }
 
-// Revision returns the configuration revision that brought the table.
+// Revision returns the configuration revision that introduced the table.
 func (t *Table) Revision() Revision { return t.config.Revision }
 
-// Limits returns what bounds callers.
+// Limits returns the bounds on what callers send.
 func (t *Table) Limits() CallerLimits { return t.config.Limits }
 
-// Document returns the operator's own text of the table, which the caller must not change.
+// Document returns the table as the operator submitted it, empty on nodes. The caller must not change it.
 func (t *Table) Document() []byte { return t.config.Document }
 
 // Services returns the services, which the caller must not change.
 func (t *Table) Services() []*TableService { return t.config.Services }
 
-// Accounts returns the customers, which the caller must not change.
+// Accounts returns the accounts of all customers, which the caller must not change.
 func (t *Table) Accounts() []*Account { return t.config.Accounts }
 
-// Keyed reports whether requests need a key, but for those on open routes.
+// Keyed reports whether requests need a customer key, except on open routes.
 func (t *Table) Keyed() bool { return len(t.config.Accounts) > 0 }
 
-// Route returns the route of a host with the longest prefix of a path.
+// Route returns the route of a host whose prefix is the longest match for a path. A port in the host is ignored.
 func (t *Table) Route(host, path string) (*HostRoute, bool) {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
 	}
-	for _, r := range t.hosts[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.PathPrefix()) {
 			return r, true
 		}
@@ -277,14 +277,14 @@
 	return nil, false
 }
 
-// AccountOf returns the account that a key belongs to.
+// AccountOf returns the account that owns the key with the given digest.
 func (t *Table) AccountOf(d KeyDigest) (*Account, bool) {
-	a, ok := t.accounts[d]
+	a, ok := t.accountsByKey[d]
 	return a, ok
 }
 
-// Account returns a customer's account.
+// Account returns the account of a customer, false when it has none.
 func (t *Table) Account(c CustomerID) (*Account, bool) {
-	a, ok := t.names[c]
+	a, ok := t.accountsByCustomer[c]
 	return a, ok
 }
--- a/traffic.go
+++ b/traffic.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// ConfigurationView is what a node knows of the accepted configuration and of the other nodes.
+// ConfigurationView holds a node's copy of the accepted configuration and of the members that it calls.
 type ConfigurationView interface {
 	Service
-	// Configuration returns the newest installed configuration, which never goes back to a lower revision.
+	// Configuration returns the installed configuration. Its revision never decreases.
 	Configuration() *Configuration
-	// Fresh reports whether the view is young enough to honour keys.
+	// Fresh reports whether the view is recent enough to accept customer keys.
 	Fresh(now time.Time) bool
-	// Follow has the members of a service known from then on, and returns once they are.
+	// Follow subscribes to the members of a service and returns once they are known.
 	Follow(ctx context.Context, s UpstreamService) error
-	// Members returns the members of a followed service.
+	// Members returns the known members of a service that Follow has subscribed to.
 	Members(s UpstreamService) []*Member
-	// Nodes returns the number of nodes of all services, 0 before it is known.
+	// Nodes returns the number of nodes of all services, 0 until it is known.
 	Nodes() int
-	// Control returns the message address of the control instance that answered last, empty before one has.
+	// Control returns the message address of the control instance that last answered a poll, empty before the first answer.
 	Control() string
-	// Polled returns when the node sent the last poll that a control instance answered, zero before one has.
+	// Polled returns the time at which the last answered poll was sent, zero before the first answer.
 	Polled() time.Time
-	// Subscribe runs a function on the control thread after each installed configuration.
+	// Subscribe registers a function that runs on the control thread after each installed configuration.
 	Subscribe(f func(*Configuration))
-	// Announce tells the control instances about this node's own member, now and with each renewal.
+	// Announce sets the member that this node registers with the control instances, now and at each renewal.
 	Announce(m *Member)
 }
 
-// ArrivalConfig builds an Arrival.
+// ArrivalConfig holds the arguments of NewArrival.
 type ArrivalConfig struct {
 	// Method is the HTTP method.
 	Method string
 	// Path is the path without the query.
 	Path string
-	// Host is the host name that the request was sent to, where requests are routed by it.
+	// Host is the host name from the request, empty where requests are not routed by host.
 	Host string
-	// ID is the caller's name for this attempt, empty where the node names requests itself.
+	// ID is the caller's identifier for this attempt, empty where the node assigns identifiers.
 	ID RequestID
-	// Remaining is how long the caller waits, 0 where it did not say.
+	// Remaining is the caller's timeout at the time of receipt, 0 when not given.
 	Remaining time.Duration
-	// Keys are the customer keys that came with the request.
+	// Keys holds the customer keys sent with the request.
 	Keys []string
-	// IdempotencyKey is the caller's name for the request, empty when it gave none.
+	// IdempotencyKey is the caller's key for the request, shared by its resends; empty when none was sent.
 	IdempotencyKey IdempotencyKey
-	// Received is when the request arrived.
+	// Received is the time at which the request arrived.
 	Received time.Time
 }
 
-// Arrival is a caller's request before it is let in.
+// Arrival describes a caller's request before the gate has accepted it.
 type Arrival struct {
 	config ArrivalConfig
 }
 
-// NewArrival returns an arrival.
+// NewArrival returns an immutable arrival.
 func NewArrival(c ArrivalConfig) *Arrival { return &Arrival{config: c} }
 
 // Method returns the HTTP method.
@@ -63,53 +63,53 @@
 // Path returns the path without the query.
 func (a *Arrival) Path() string { return a.config.Path }
 
-// Host returns the host name that the request was sent to.
+// Host returns the host name from the request, empty where requests are not routed by host.
 func (a *Arrival) Host() string { return a.config.Host }
 
-// ID returns the caller's name for this attempt, empty where the node names requests itself.
+// ID returns the caller's identifier for this attempt, empty where the node assigns identifiers.
 func (a *Arrival) ID() RequestID { return a.config.ID }
 
-// Remaining returns how long the caller waits, 0 where it did not say.
+// Remaining returns the caller's timeout at the time of receipt, 0 when not given.
 func (a *Arrival) Remaining() time.Duration { return a.config.Remaining }
 
-// Keys returns the customer keys that came with the request.
+// Keys returns the customer keys sent with the request.
 func (a *Arrival) Keys() []string { return a.config.Keys }
 
-// IdempotencyKey returns the caller's name for the request.
+// IdempotencyKey returns the caller's key for the request, empty when none was sent.
 func (a *Arrival) IdempotencyKey() IdempotencyKey { return a.config.IdempotencyKey }
 
-// Received returns when the request arrived.
+// Received returns the time at which the request arrived.
 func (a *Arrival) Received() time.Time { return a.config.Received }
 
-// Gate decides which requests enter at this node.
+// Gate authenticates callers' requests and decides which of them enter at this node.
 type Gate interface {
 	Service
-	// Enter turns a caller's request into a call, or returns a *Refusal, with the call where its customer is known.
+	// Enter returns the call for a request, or a *Refusal. A refused request comes with a call if its customer is known.
 	Enter(ctx context.Context, a *Arrival) (*Call, error)
 }
 
-// OutcomeKind classifies how a backend server or upstream dealt with an attempt.
+// OutcomeKind classifies the result of an attempt.
 type OutcomeKind uint8
 
 // Kinds of outcome.
 const (
-	// OutcomeDone is a whole answer.
+	// OutcomeDone is a complete answer.
 	OutcomeDone OutcomeKind = iota
-	// OutcomeNotRun is a refusal with a true "not run" mark.
+	// OutcomeNotRun is a refusal with the "not run" mark.
 	OutcomeNotRun
-	// OutcomeOverloaded is a "not run" refusal because of overload.
+	// OutcomeOverloaded is a refusal with the "not run" mark because of overload.
 	OutcomeOverloaded
 	// OutcomeFailed is a failure after the request may have run.
 	OutcomeFailed
-	// OutcomeExpired is an attempt that the deadline ended after the request may have run.
+	// OutcomeExpired is an attempt that passed its deadline after the request may have run.
 	OutcomeExpired
 	// OutcomeUnreached is a failure before any byte of the request was sent.
 	OutcomeUnreached
-	// OutcomeCancelled is an attempt that the caller gave up.
+	// OutcomeCancelled is an attempt that the caller cancelled.
 	OutcomeCancelled
 )
 
-// outcomeNames are the names of the kinds of outcome in their order.
+// outcomeNames holds the names of the kinds of outcome, indexed by OutcomeKind.
 var outcomeNames = []string{"done", "not-run", "overloaded", "failed", "expired", "unreached", "cancelled"}
 
 // String implements fmt.Stringer.
@@ -120,120 +120,120 @@
 	return "unknown"
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt and the time that it took.
 type Outcome struct {
-	kind    OutcomeKind
-	elapsed time.Duration
-	below   time.Duration
+	kind       OutcomeKind
+	elapsed    time.Duration
+	downstream time.Duration
 }
 
-// NewOutcome returns the outcome of an attempt that took the given time.
+// NewOutcome returns the outcome of an attempt with its duration.
 func NewOutcome(k OutcomeKind, elapsed time.Duration) Outcome {
 	return Outcome{kind: k, elapsed: elapsed}
 }
 
-// Kind returns how the attempt ended.
+// Kind returns the class of the result.
 func (o Outcome) Kind() OutcomeKind { return o.kind }
 
-// Elapsed returns how long the attempt took.
+// Elapsed returns the duration of the attempt.
 func (o Outcome) Elapsed() time.Duration { return o.elapsed }
 
-// WithBelow returns the outcome of an attempt that spent a part of its time in calls to other services.
-func (o Outcome) WithBelow(below time.Duration) Outcome {
-	o.below = below
+// WithBelow returns a copy with the part of the duration during which calls to other services were open.
+func (o Outcome) WithBelow(downstream time.Duration) Outcome {
+	o.downstream = downstream
 	return o
 }
 
-// Own returns the part of the time that the attempt did not spend in calls to other services.
-func (o Outcome) Own() time.Duration { return max(0, o.elapsed-o.below) }
+// Own returns the duration of the attempt without the time in calls to other services.
+func (o Outcome) Own() time.Duration { return max(0, o.elapsed-o.downstream) }
 
-// Admission decides when the backend server beside this node runs a call.
+// Admission limits the calls that the local backend server runs concurrently.
 type Admission interface {
 	Service
-	// Admit waits for a slot at the backend server, or returns a *Refusal.
+	// Admit waits for a free slot at the backend server and returns its ticket, or returns a *Refusal.
 	Admit(ctx context.Context, c *Call) (Ticket, error)
-	// CutOff returns the lowest rank that is now refused, or MaxRank when none is.
+	// CutOff returns the lowest rank that is currently refused, MaxRank when none is.
 	CutOff() Rank
-	// Resize tells the number of slots that the backend server announced.
+	// Resize sets the number of slots that the backend server announced.
 	Resize(slots int)
 }
 
-// Ticket is a slot at the backend server.
+// Ticket represents an occupied slot at the backend server.
 type Ticket interface {
-	// Release gives the slot back and tells how the attempt ended.
+	// Release frees the slot and reports the outcome of the attempt.
 	Release(o Outcome)
 }
 
-// LiveCall is a request that the backend server beside this node is running.
+// LiveCall is a call that the local backend server is running. Its methods are safe for concurrent use.
 type LiveCall interface {
-	// Call returns the facts of the request.
+	// Call returns the description of the call.
 	Call() *Call
-	// BeginExit counts an exit call that the backend server makes for the request, or reports that none may be made any more.
+	// BeginExit counts the start of an exit call made for this call. It returns false once exit calls are no longer allowed.
 	BeginExit() bool
-	// EndExit tells that an exit call ended.
+	// EndExit records the end of an exit call.
 	EndExit()
-	// Below returns the time during which an exit call was open.
+	// Below returns the total time during which at least one exit call was open.
 	Below() time.Duration
-	// SealExits refuses further exit calls and returns the number so far.
+	// SealExits disallows further exit calls and returns the number made so far.
 	SealExits() int
-	// Exits returns the number of exit calls so far.
+	// Exits returns the number of exit calls made so far.
 	Exits() int
-	// TakeBudget removes up to n extra attempts from the request's budget and returns how many it got.
+	// TakeBudget takes up to n retries from the call's budget and returns the number taken.
 	TakeBudget(n int) int
-	// ReturnBudget gives unused extra attempts back.
+	// ReturnBudget returns n unused retries to the budget.
 	ReturnBudget(n int)
-	// Unused returns the extra attempts that are left.
+	// Unused returns the number of retries left in the budget.
 	Unused() int
-	// NoteCutOff takes in a cut-off that the request met below this node.
+	// NoteCutOff records a cut-off that the call met downstream.
 	NoteCutOff(cutOff Rank)
-	// CutOff returns the lowest cut-off that the request met below this node, MaxRank when it met none.
+	// CutOff returns the lowest cut-off that the call met downstream, MaxRank when it met none.
 	CutOff() Rank
-	// Context ends when the request ends.
+	// Context returns a context that is cancelled when the call ends.
 	Context() context.Context
 }
 
-// Handles keeps the live calls under the handles that the backend server presents.
+// Handles maps the handles that the backend server sends with exit calls to the running calls.
 type Handles interface {
 	Service
-	// Open makes a handle for a call until the context ends or the handle is closed.
+	// Open creates a handle for a call. It is valid until the context ends or Close is called.
 	Open(ctx context.Context, c *Call) (Handle, LiveCall)
-	// Find returns the live call of a handle.
+	// Find returns the running call of a handle, false when there is none.
 	Find(h Handle) (LiveCall, bool)
-	// Close ends a handle.
+	// Close invalidates a handle and ends its call.
 	Close(h Handle)
-	// EndWithdrawn cancels the live calls whose key is not in the configuration.
+	// EndWithdrawn cancels the running calls whose key is no longer in the configuration.
 	EndWithdrawn(c *Configuration)
-	// Live returns the number of live calls.
+	// Live returns the number of running calls.
 	Live() int
 }
 
-// Router picks upstreams for exit calls.
+// Router selects members for exit calls and tracks their load and failures.
 type Router interface {
 	Service
-	// Pick returns a member of the call's service that was not tried yet, or a *Refusal.
+	// Pick selects a member of the call's service, other than those already tried, or returns a *Refusal.
 	Pick(c *Call, tried []InstanceID) (*Member, error)
-	// Begin counts an attempt at a member.
+	// Begin records the start of an attempt at a member.
 	Begin(m *Member)
-	// End tells how an attempt at a member ended and the cut-off that came back with the answer.
+	// End records the outcome of an attempt at a member and the cut-off in its answer.
 	End(m *Member, o Outcome, cutOff Rank)
 	// CutOff returns the lowest rank that every member of a service refuses, MaxRank when none is.
 	CutOff(s UpstreamService) Rank
 }
 
-// RetryJudge decides whether an exit call is tried again.
+// RetryJudge decides whether an exit call is retried.
 type RetryJudge interface {
 	Service
-	// Pace returns how much too soon a caller's attempt under an idempotency key comes, 0 when it may go on.
+	// Pace returns the time that a caller must wait before another attempt with the idempotency key, 0 when it may proceed.
 	Pace(c CustomerID, k IdempotencyKey, interval time.Duration) time.Duration
-	// Portion returns the extra attempts that an exit call takes along from the request's budget.
+	// Portion takes the retry budget of an exit call out of the budget of the live call and returns it.
 	Portion(l LiveCall) int
-	// First counts a first attempt.
+	// First records a first attempt.
 	First(c *Call)
-	// Again reports whether an attempt with this outcome is followed by another, and the reason why not.
+	// Again reports whether an attempt with this outcome is retried, and the reason for the decision.
 	Again(c *Call, l LiveCall, o Outcome) (ok bool, reason RetryReason)
 }
 
-// RetryReason says why a retry happened or did not.
+// RetryReason identifies why an attempt was retried or not.
 type RetryReason string
 
 // Retry reasons.
@@ -251,76 +251,76 @@
 	NoRetryBodyStarted RetryReason = "denied-body-started"
 )
 
-// Limiter holds customers to their rate and burst over all nodes together.
+// Limiter enforces the rate limits of customers over all nodes together.
 type Limiter interface {
 	Service
-	// Take spends one request of a customer at a service, or returns a *Refusal.
+	// Take spends one token of a customer's rate limit at a service, or returns a *Refusal.
 	Take(ctx context.Context, c CustomerID, s UpstreamService) error
 }
 
-// Claims runs non-idempotent requests at most once over all nodes together.
+// Claims ensures that a non-idempotent request with an idempotency key runs at most once over all nodes together.
 type Claims interface {
 	Service
-	// Claim reserves the right to run a call, or returns a *Refusal.
+	// Claim acquires the exclusive right to run a call, or returns a *Refusal.
 	Claim(ctx context.Context, c *Call) (Claim, error)
 }
 
-// Claim is the right to run one non-idempotent request.
+// Claim is the exclusive right to run one non-idempotent request.
 type Claim interface {
-	// Finish records how the run ended: a run that never started frees the claim.
+	// Finish records the outcome. If the request never ran, the claim is released for another attempt.
 	Finish(ctx context.Context, o Outcome)
 }
 
-// Backend is the backend server beside this node, as it announced itself.
+// Backend tracks the state that the local backend server has announced.
 type Backend interface {
 	Service
 	// Address returns the IP address and port that the backend server announced, or a *Refusal.
 	Address() (string, error)
-	// Leave announces that this node takes no new work from others.
+	// Leave announces that this node accepts no new calls from other nodes.
 	Leave()
-	// Leaving reports whether this node has announced that it leaves.
+	// Leaving reports whether Leave has taken effect.
 	Leaving() bool
-	// Close refuses all new work.
+	// Close refuses all further calls, and returns once that has taken effect.
 	Close()
 }
 
-// Runner takes calls to the backend server beside this node.
+// Runner prepares calls for the local backend server.
 type Runner interface {
 	Service
-	// Begin takes a call as far as the hand-over to the backend server, or returns a *Refusal.
+	// Begin waits for a slot, acquires the claim and opens the handle for a call, or returns a *Refusal.
 	Begin(ctx context.Context, c *Call) (Run, error)
 }
 
-// Run is a call that the backend server may now be given.
+// Run is a call that is ready to be sent to the backend server. End must be called once.
 type Run interface {
 	// Address returns the IP address and port of the backend server.
 	Address() string
-	// Handle returns the handle that the backend server presents with its exit calls.
+	// Handle returns the handle that the backend server sends with its exit calls.
 	Handle() Handle
-	// Live returns the live call.
+	// Live returns the state of the running call.
 	Live() LiveCall
-	// Context ends when the request ends, its key is withdrawn or its deadline passes.
+	// Context returns a context that ends when the call ends, its key is withdrawn or its deadline passes.
 	Context() context.Context
-	// End tells how the hand-over ended.
+	// End records the outcome and releases what Begin acquired.
 	End(o Outcome)
 }
 
-// CallServer serves calls over HTTP from the backend server beside this node.
+// CallServer serves HTTP requests by running calls at the local backend server.
 type CallServer interface {
 	Service
-	// ServeCall runs a call and streams the whole answer, or answers with a refusal.
+	// ServeCall runs a call and writes the answer or the refusal to w.
 	ServeCall(w http.ResponseWriter, r *http.Request, c *Call)
 }
 
-// Counters counts what the process did.
+// Counters records the metrics of a process.
 type Counters interface {
 	Service
 	// Refused counts a refusal.
 	Refused(r RefusalReason)
 	// Retried counts a retry or a retry that was denied.
 	Retried(r RetryReason)
-	// Observe adds a duration to the histogram of a hop.
+	// Observe adds a duration to the latency histogram of a hop, such as "entry" or "backend".
 	Observe(hop string, d time.Duration)
-	// Gauge registers a function that is read when metrics are collected.
+	// Gauge registers a function that returns the value of a gauge when metrics are collected.
 	Gauge(name string, f func() float64)
 }
