--- a/internal/kernel/registry/control.go
+++ b/internal/kernel/registry/control.go
@@ -8,15 +8,15 @@
 	"github.com/figpier/figpier"
 )
 
-// controlThread delivers events one at a time to the services that they target.
+// controlThread delivers queued events one at a time, in order, to their target services.
 type controlThread struct {
 	clock     figpier.Clock
 	directory figpier.Directory
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards queue and stopped
 	queue   []figpier.Event
 	stopped bool
-	wake    chan struct{}
+	wake    chan struct{} // holds a value while the queue may have events
 }
 
 func newControlThread(c figpier.Clock, d figpier.Directory) *controlThread {
@@ -45,6 +45,7 @@
 	})
 }
 
+// run delivers events until the context ends. Events that are still queued then are dropped.
 func (t *controlThread) run(ctx context.Context) {
 	defer t.close()
 	for {
@@ -52,18 +53,18 @@
 		case <-ctx.Done():
 			return
 		case <-t.wake:
-			t.drain()
+			t.deliverQueued()
 		}
 	}
 }
 
-func (t *controlThread) drain() {
-	for _, e := range t.take() {
+func (t *controlThread) deliverQueued() {
+	for _, e := range t.dequeueAll() {
 		t.deliver(e)
 	}
 }
 
-func (t *controlThread) take() []figpier.Event {
+func (t *controlThread) dequeueAll() []figpier.Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	events := t.queue
@@ -71,6 +72,7 @@
 	return events
 }
 
+// deliver drops an event whose target is not registered or handles no events.
 func (t *controlThread) deliver(e figpier.Event) {
 	s, err := t.directory.Find(e.Target())
 	if err != nil {
@@ -81,6 +83,7 @@
 	}
 }
 
+// close drops the queued events and makes Post return a StoppedError.
 func (t *controlThread) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/kernel/registry/kernel.go
+++ b/internal/kernel/registry/kernel.go
@@ -9,16 +9,16 @@
 	"github.com/figpier/figpier"
 )
 
-// Error is the class of the kernel's failures.
+// Error is the class of errors returned by the kernel.
 var Error = errs.Class("kernel")
 
-// Config builds a Kernel.
+// Config holds the arguments of New.
 type Config struct {
 	// Clock is the clock of the process.
 	Clock figpier.Clock
 }
 
-// Kernel keeps the services of a process and runs its control thread.
+// Kernel holds the services of a process and runs its control thread. It implements figpier.Directory.
 type Kernel struct {
 	clock    figpier.Clock
 	control  *controlThread
@@ -27,7 +27,7 @@
 	failure  chan error
 }
 
-// New returns a kernel without services.
+// New returns a kernel without services, which is to be run once.
 func New(c Config) *Kernel {
 	k := &Kernel{
 		clock:    c.Clock,
@@ -38,7 +38,7 @@
 	return k
 }
 
-// Register adds a service, to be started after those registered before it.
+// Register adds a service. Services start in the order of registration. Register must not be called after Run.
 func (k *Kernel) Register(s figpier.Service) error {
 	if _, taken := k.services[s.Name()]; taken {
 		return Error.New("service %q is registered twice", s.Name())
@@ -63,7 +63,7 @@
 // Clock implements figpier.Directory.
 func (k *Kernel) Clock() figpier.Clock { return k.clock }
 
-// Fail implements figpier.Directory; of several failures the first is kept.
+// Fail implements figpier.Directory. Only the first failure is kept; it is returned by Run.
 func (k *Kernel) Fail(err error) {
 	select {
 	case k.failure <- err:
@@ -71,8 +71,8 @@
 	}
 }
 
-// Run starts all services, waits for the stop context to end or for a failure, and then stops them in reverse order.
-// The work of the services ends when every Stop has returned or the grace context of newGrace ends.
+// Run starts all services, waits until the stop context ends or Fail is called, and stops the services in reverse order.
+// newGrace returns the context that bounds the calls of Stop. The context given to Start ends after them.
 func (k *Kernel) Run(stop context.Context, newGrace func() (context.Context, context.CancelFunc)) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -82,21 +82,21 @@
 		k.control.run(work)
 	}()
 
-	started, err := k.start(work)
+	started, err := k.startServices(work)
 	if err == nil {
-		err = k.wait(stop)
+		err = k.waitForStop(stop)
 	}
 
 	grace, end := newGrace()
 	defer end()
-	err = errors.Join(err, k.stop(grace, started))
+	err = errors.Join(err, k.stopServices(grace, started))
 	cancel()
 	<-done
 	return err
 }
 
-// wait returns when the process is told to stop, or with the failure that stops it.
-func (k *Kernel) wait(stop context.Context) error {
+// waitForStop returns nil when the context ends, or the error given to Fail.
+func (k *Kernel) waitForStop(stop context.Context) error {
 	select {
 	case <-stop.Done():
 		return nil
@@ -105,7 +105,8 @@
 	}
 }
 
-func (k *Kernel) start(ctx context.Context) (started int, err error) {
+// startServices starts the services in order and returns how many were started.
+func (k *Kernel) startServices(ctx context.Context) (started int, err error) {
 	for i, s := range k.order {
 		if err := s.Start(ctx, k); err != nil {
 			return i, Error.New("start %s: %w", s.Name(), err)
@@ -114,13 +115,14 @@
 	return len(k.order), nil
 }
 
-func (k *Kernel) stop(ctx context.Context, started int) error {
-	var all error
+// stopServices stops the first started services in reverse order and joins their errors.
+func (k *Kernel) stopServices(ctx context.Context, started int) error {
+	var failures error
 	for i := started - 1; i >= 0; i-- {
 		s := k.order[i]
 		if err := s.Stop(ctx); err != nil {
-			all = errors.Join(all, Error.New("stop %s: %w", s.Name(), err))
+			failures = errors.Join(failures, Error.New("stop %s: %w", s.Name(), err))
 		}
 	}
-	return all
+	return failures
 }
--- a/internal/kernel/system/clock.go
+++ b/internal/kernel/system/clock.go
@@ -6,20 +6,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// origin pairs the time of day at the start of the process with the time since boot.
-var origin = start{day: time.Now().Round(0), boot: sinceBoot()}
+// processStart anchors the values of Clock.Now.
+var processStart = timeReference{timeOfDay: time.Now().Round(0), boot: timeSinceBoot()}
 
-type start struct {
-	day  time.Time
-	boot time.Duration
+// timeReference is a time of day, without monotonic reading, and the time since boot at the same moment.
+type timeReference struct {
+	timeOfDay time.Time
+	boot      time.Duration
 }
 
-// Clock is the system clock. Its time goes on while the instance is suspended and does not follow changes of the time of
-// day: Go's own monotonic readings stop with a suspend, and a lease would outlive it.
+// Clock implements figpier.Clock with the system clock. Its time advances while the instance is suspended and ignores
+// changes to the time of day. The monotonic readings of package time stop during a suspend, so that a lease measured with
+// them would not expire.
 type Clock struct{}
 
-// Now implements figpier.Clock.
-func (Clock) Now() time.Time { return origin.day.Add(sinceBoot() - origin.boot) }
+// Now implements figpier.Clock. The result has no monotonic reading.
+func (Clock) Now() time.Time { return processStart.timeOfDay.Add(timeSinceBoot() - processStart.boot) }
 
 // AfterFunc implements figpier.Clock.
 func (Clock) AfterFunc(d time.Duration, f func()) (cancel func()) {
@@ -27,14 +29,15 @@
 	return func() { t.Stop() }
 }
 
-// sinceBoot returns the time since boot with suspends, or the process's monotonic time where the kernel has no such clock.
-func sinceBoot() time.Duration {
+// timeSinceBoot returns the time since boot including suspends. Where the operating system has no such clock, it returns
+// the monotonic time since the start of the process.
+func timeSinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(started)
+		return time.Since(monotonicStart)
 	}
 	return time.Duration(t.Nano())
 }
 
-// started stands in for the boot where the kernel has no such clock.
-var started = time.Now()
+// monotonicStart is the reference where the operating system has no CLOCK_BOOTTIME.
+var monotonicStart = time.Now()
--- a/internal/kernel/system/doc.go
+++ b/internal/kernel/system/doc.go
@@ -1,2 +1,2 @@
-// Package system is the kernel's view of the operating system's clock.
+// Package system provides the clock of the operating system to the kernel.
 package system
