--- a/internal/policy/cutoff/cutoff.go
+++ b/internal/policy/cutoff/cutoff.go
@@ -9,52 +9,56 @@
 )
 
 const (
-	hold       = 200 * time.Millisecond // time for which a cut-off stands as it was told
-	doubling   = 100 * time.Millisecond // time in which the raise of an older cut-off doubles
-	firstRaise = float64(rank.Octave / 4)
-	maxRaise   = 40 // doublings after which any cut-off is gone
+	// holdTime is the time for which a reported cut-off stays unchanged.
+	holdTime = 200 * time.Millisecond
+	// doublingTime is the time in which the raise of a cut-off doubles after holdTime.
+	doublingTime = 100 * time.Millisecond
+	// initialRaise is the raise, in ranks, after the first doublingTime.
+	initialRaise = float64(rank.Octave / 4)
+	// maxDoublings bounds the exponent of the raise; no cut-off remains after as many.
+	maxDoublings = 40
 )
 
-// Told is a cut-off as another node told it.
-type Told struct {
+// Reported is a cut-off that another node reported. The zero value is no cut-off.
+type Reported struct {
 	rank figpier.Rank
 	at   time.Time
 }
 
-// Tell returns a cut-off that was told at a time.
-func Tell(now time.Time, r figpier.Rank) Told { return Told{rank: r, at: now} }
+// NewReported returns a cut-off that was reported at the given time.
+func NewReported(now time.Time, r figpier.Rank) Reported { return Reported{rank: r, at: now} }
 
-// At returns the cut-off that still holds: it stands for a short while, and then rises by steps that double, so that load is
-// probed again.
-func (t Told) At(now time.Time) figpier.Rank {
-	if t.at.IsZero() {
+// At returns the cut-off in effect at the given time. It is the reported one for holdTime and then rises exponentially,
+// so that higher ranks are tried again.
+func (r Reported) At(now time.Time) figpier.Rank {
+	if r.at.IsZero() {
 		return figpier.MaxRank
 	}
-	age := now.Sub(t.at) - hold
+	age := now.Sub(r.at) - holdTime
 	if age <= 0 {
-		return t.rank
+		return r.rank
 	}
-	steps := min(float64(age)/float64(doubling), maxRaise)
-	raised := float64(t.rank) + firstRaise*(math.Exp2(steps)-1)
+	doublings := min(float64(age)/float64(doublingTime), maxDoublings)
+	raised := float64(r.rank) + initialRaise*(math.Exp2(doublings)-1)
 	if raised >= float64(figpier.MaxRank) {
 		return figpier.MaxRank
 	}
 	return figpier.Rank(raised)
 }
 
-// answersKept is the number of answers of a route that must all bring back a cut-off before requests are refused by it, so
-// that a route of which only some requests reach the overloaded service is not refused as a whole.
-const answersKept = 4
+// answersPerRoute is the number of most recent answers of a route that must all report a cut-off before it is applied, so
+// that a route is not refused when only some of its requests reach the overloaded service.
+const answersPerRoute = 4
 
 const sweepInterval = 10 * time.Second
 
-// Route names the requests that share a cut-off.
+// Route identifies the requests that share a cut-off.
 type Route struct {
 	service figpier.UpstreamService
 	pattern string
 }
 
-// NewRoute returns the name of a service's route.
+// NewRoute returns a route of a service.
 func NewRoute(s figpier.UpstreamService, pattern string) Route {
 	return Route{service: s, pattern: pattern}
 }
@@ -62,26 +66,26 @@
 // Service returns the service of the route.
 func (r Route) Service() figpier.UpstreamService { return r.service }
 
-// Pattern returns the method and path of the route.
+// Pattern returns the pattern or name of the route, as figpier.Call.Route does.
 func (r Route) Pattern() string { return r.pattern }
 
-// Table keeps the cut-offs of routes.
+// Table stores the cut-offs of routes. It is not safe for concurrent use.
 type Table struct {
-	routes map[Route]*answers
-	swept  time.Time
+	routes    map[Route]*recentAnswers
+	lastSweep time.Time
 }
 
-// answers are the cut-offs that the newest answers of a route brought back.
-type answers struct {
-	told  [answersKept]Told
-	next  int
-	since time.Time
+// recentAnswers are the cut-offs that the newest recentAnswers of a route brought back.
+type recentAnswers struct {
+	cutOffs [answersPerRoute]Reported
+	next    int
+	since   time.Time
 }
 
 // New returns a table without cut-offs.
-func New() *Table { return &Table{routes: map[Route]*answers{}} }
+func New() *Table { return &Table{routes: map[Route]*recentAnswers{}} }
 
-// Learn takes in the cut-off that the answer to a request brought back, figpier.MaxRank for none.
+// Learn records the cut-off that an answer reported, figpier.MaxRank for none.
 func (t *Table) Learn(now time.Time, r Route, cutOff figpier.Rank) {
 	t.sweep(now)
 	a, ok := t.routes[r]
@@ -89,12 +93,12 @@
 		if cutOff == figpier.MaxRank {
 			return
 		}
-		a = &answers{}
+		a = &recentAnswers{}
 		t.routes[r] = a
 	}
-	a.told[a.next] = Tell(now, cutOff)
-	a.next = (a.next + 1) % answersKept
-	a.keepSince(now)
+	a.cutOffs[a.next] = NewReported(now, cutOff)
+	a.next = (a.next + 1) % answersPerRoute
+	a.updateSince(now)
 }
 
 // CutOff returns the lowest rank of the route that is refused, figpier.MaxRank when none is.
@@ -106,7 +110,7 @@
 	return a.cutOff(now)
 }
 
-// Each calls a function for each route that has a cut-off, with the time since when it has one.
+// Each calls f for each route that has a cut-off, with the time from which it has had one.
 func (t *Table) Each(now time.Time, f func(r Route, cutOff figpier.Rank, since time.Time)) {
 	for r, a := range t.routes {
 		if c := a.cutOff(now); c != figpier.MaxRank {
@@ -115,8 +119,9 @@
 	}
 }
 
-// keepSince keeps when the cut-off began; one that ended by itself in between is seen as one that never ended.
-func (a *answers) keepSince(now time.Time) {
+// updateSince records when the cut-off began. It runs only on an answer, so a cut-off that ended between two answers counts
+// as uninterrupted.
+func (a *recentAnswers) updateSince(now time.Time) {
 	if a.cutOff(now) == figpier.MaxRank {
 		a.since = time.Time{}
 		return
@@ -126,29 +131,31 @@
 	}
 }
 
-func (a *answers) cutOff(now time.Time) figpier.Rank {
+// cutOff returns the highest of the recorded cut-offs, so that one answer without a cut-off lifts it.
+func (a *recentAnswers) cutOff(now time.Time) figpier.Rank {
 	var highest figpier.Rank
-	for _, t := range a.told {
+	for _, t := range a.cutOffs {
 		highest = max(highest, t.At(now))
 	}
 	return highest
 }
 
+// sweep removes the routes without a cut-off, at most once in sweepInterval.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepInterval {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for r, a := range t.routes {
-		if a.gone(now) {
+		if a.expired(now) {
 			delete(t.routes, r)
 		}
 	}
 }
 
-// gone reports whether no answer that is kept can refuse a request any more.
-func (a *answers) gone(now time.Time) bool {
-	for _, t := range a.told {
+// expired reports whether none of the recorded cut-offs is in effect any more.
+func (a *recentAnswers) expired(now time.Time) bool {
+	for _, t := range a.cutOffs {
 		if t.At(now) != figpier.MaxRank {
 			return false
 		}
--- a/internal/policy/routing/routing.go
+++ b/internal/policy/routing/routing.go
@@ -9,78 +9,79 @@
 	"github.com/figpier/figpier/internal/policy/cutoff"
 )
 
-// Config builds a Table.
+// Config holds the arguments of New.
 type Config struct {
-	// DataCentre is where the node runs.
+	// DataCentre is the data centre of the node.
 	DataCentre figpier.DataCentre
-	// Region is where the data centre is.
+	// Region is the region of the data centre.
 	Region figpier.Region
-	// Seed begins the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// Table keeps what a node has seen of the members that it calls.
+// Table tracks the load and health of the members that a node calls. It is not safe for concurrent use.
 type Table struct {
 	config Config
 	random *rand.Rand
-	states map[figpier.InstanceID]*state
-	picked map[figpier.UpstreamService]time.Time
+	states map[figpier.InstanceID]*memberState
+	// lastPick holds the time of the last pick for each service.
+	lastPick map[figpier.UpstreamService]time.Time
 }
 
-// New returns a table that has seen no member.
+// New returns a table without members.
 func New(c Config) *Table {
 	return &Table{
-		config: c,
-		random: rand.New(rand.NewPCG(c.Seed, c.Seed)),
-		states: map[figpier.InstanceID]*state{},
-		picked: map[figpier.UpstreamService]time.Time{},
+		config:   c,
+		random:   rand.New(rand.NewPCG(c.Seed, c.Seed)),
+		states:   map[figpier.InstanceID]*memberState{},
+		lastPick: map[figpier.UpstreamService]time.Time{},
 	}
 }
 
-// Verdict says what happens to a call.
+// Verdict is the result of Pick.
 type Verdict uint8
 
-// Verdicts on a call.
+// Results of Pick.
 const (
-	// Picked gives the call to a member.
+	// Picked means that a member was selected.
 	Picked Verdict = iota
-	// Refused refuses the call because every member would.
+	// Refused means that every available member would refuse the rank of the call.
 	Refused
-	// Nobody refuses the call because no member takes work.
+	// Nobody means that no member is available.
 	Nobody
 )
 
-// Pick chooses a member of a service for a call of a rank, out of those that were not tried.
+// Pick selects a member of a service for a call of the rank, excluding those already tried.
 func (t *Table) Pick(now time.Time, s figpier.UpstreamService, members []*figpier.Member, r figpier.Rank, tried []figpier.InstanceID) (*figpier.Member, Verdict) {
 	candidates := t.candidates(now, s, members, tried)
 	if len(candidates) == 0 {
 		return nil, Nobody
 	}
-	willing := keep(candidates, func(m *figpier.Member) bool {
+	accepting := filterMembers(candidates, func(m *figpier.Member) bool {
 		return !t.states[m.Instance()].refuses(now, r)
 	})
-	if len(willing) == 0 {
+	if len(accepting) == 0 {
 		return nil, Refused
 	}
-	free := keep(willing, func(m *figpier.Member) bool {
+	free := filterMembers(accepting, func(m *figpier.Member) bool {
 		return !t.states[m.Instance()].saturated(now, m, r)
 	})
 	if len(free) == 0 {
-		free = willing
+		free = accepting
 	}
-	return t.choose(now, t.nearest(free)), Picked
+	return t.lessLoadedOfTwo(now, t.nearest(free)), Picked
 }
 
-// candidates returns the members that take work, and keeps since when each of them does.
+// candidates returns the members that are not draining, ejected or already tried, and records which members accept calls.
 func (t *Table) candidates(now time.Time, s figpier.UpstreamService, members []*figpier.Member, tried []figpier.InstanceID) []*figpier.Member {
-	previous, known := t.picked[s]
-	t.picked[s] = now
+	previousPick, pickedBefore := t.lastPick[s]
+	t.lastPick[s] = now
 	var all []*figpier.Member
 	for _, m := range members {
 		if m.Draining() {
 			continue
 		}
-		st := t.see(now, m.Instance(), previous, known)
+		st := t.markAvailable(now, m.Instance(), previousPick, pickedBefore)
 		if !st.ejected(now) && !slices.Contains(tried, m.Instance()) {
 			all = append(all, m)
 		}
@@ -88,24 +89,24 @@
 	return all
 }
 
-// see keeps that a member takes work; one that did not at the previous pick starts slowly.
-func (t *Table) see(now time.Time, id figpier.InstanceID, previous time.Time, known bool) *state {
+// markAvailable records that a member accepts calls. Slow start begins if it did not at the previous pick of its service.
+func (t *Table) markAvailable(now time.Time, id figpier.InstanceID, previousPick time.Time, pickedBefore bool) *memberState {
 	st, ok := t.states[id]
 	if !ok {
-		st = &state{}
+		st = &memberState{}
 		t.states[id] = st
 	}
-	if known && !st.seen.Equal(previous) && !st.seen.Equal(now) {
-		st.since = now
+	if pickedBefore && !st.lastSeen.Equal(previousPick) && !st.lastSeen.Equal(now) {
+		st.availableSince = now
 	}
-	st.seen = now
+	st.lastSeen = now
 	return st
 }
 
-// nearest returns the members of the nearest place that has any.
+// nearest returns the members at the shortest distance.
 func (t *Table) nearest(members []*figpier.Member) []*figpier.Member {
 	var best []*figpier.Member
-	distance := far + 1
+	distance := otherRegion + 1
 	for _, m := range members {
 		d := t.distance(m)
 		if d < distance {
@@ -118,24 +119,25 @@
 	return best
 }
 
+// Distances of members, in ascending order.
 const (
-	near = iota
+	sameDataCentre = iota
 	sameRegion
-	far
+	otherRegion
 )
 
 func (t *Table) distance(m *figpier.Member) int {
 	switch {
 	case m.DataCentre() == t.config.DataCentre:
-		return near
+		return sameDataCentre
 	case m.Region() == t.config.Region:
 		return sameRegion
 	}
-	return far
+	return otherRegion
 }
 
-// choose returns the less loaded of two random members.
-func (t *Table) choose(now time.Time, members []*figpier.Member) *figpier.Member {
+// lessLoadedOfTwo selects two random members and returns the less loaded one.
+func (t *Table) lessLoadedOfTwo(now time.Time, members []*figpier.Member) *figpier.Member {
 	i := t.random.IntN(len(members))
 	if len(members) == 1 {
 		return members[i]
@@ -151,16 +153,17 @@
 	return a
 }
 
-// Begin counts a call in flight at a member.
+// Begin records the start of a call to a member.
 func (t *Table) Begin(m *figpier.Member) {
-	st := t.state(m.Instance())
+	st := t.stateOf(m.Instance())
 	st.member = m
 	st.inFlight++
 }
 
-// End takes in how a call at a member ended, with the cut-off that came back and all members of the service.
+// End records the outcome of a call to a member and the cut-off in its answer, figpier.MaxRank for none. members are all
+// members of the service, which limit ejections.
 func (t *Table) End(now time.Time, m *figpier.Member, members []*figpier.Member, k figpier.OutcomeKind, cutOff figpier.Rank) {
-	st := t.state(m.Instance())
+	st := t.stateOf(m.Instance())
 	st.inFlight = max(0, st.inFlight-1)
 	switch k {
 	case figpier.OutcomeExpired:
@@ -169,7 +172,7 @@
 		}
 		return
 	case figpier.OutcomeFailed, figpier.OutcomeUnreached:
-		if st.fail() && !st.ejected(now) && t.mayEject(now, members) {
+		if st.recordFailure() && !st.ejected(now) && t.mayEject(now, members) {
 			st.eject(now)
 		}
 		return
@@ -177,42 +180,42 @@
 		return
 	case figpier.OutcomeDone:
 		st.failures, st.ejections = 0, 0
-		st.answered = now
+		st.lastAnswer = now
 	default:
 		st.failures = 0
 	}
-	st.told = cutoff.Tell(now, cutOff)
+	st.cutOff = cutoff.NewReported(now, cutOff)
 }
 
-// othersAnswer reports whether another member of the service has answered of late, so that a member which does not is to
-// blame for itself and not for what lies below the service.
+// othersAnswer reports whether another member of the service has answered recently. Only then is a silent member itself at
+// fault, and not a service that all members depend on.
 func (t *Table) othersAnswer(now time.Time, m *figpier.Member, members []*figpier.Member) bool {
 	return slices.ContainsFunc(members, func(o *figpier.Member) bool {
-		return o.Instance() != m.Instance() && !t.state(o.Instance()).silent(now)
+		return o.Instance() != m.Instance() && !t.stateOf(o.Instance()).silent(now)
 	})
 }
 
-// mayEject reports whether one more member may be out.
+// mayEject reports whether the number of ejected members is below the limit.
 func (t *Table) mayEject(now time.Time, members []*figpier.Member) bool {
-	out := 0
+	ejected := 0
 	for _, m := range members {
-		if t.state(m.Instance()).ejected(now) {
-			out++
+		if t.stateOf(m.Instance()).ejected(now) {
+			ejected++
 		}
 	}
-	ceiling := int(ejectedShare * float64(len(members)))
+	limit := int(maxEjectedFraction * float64(len(members)))
 	if len(members) > 1 {
-		ceiling = max(1, ceiling)
+		limit = max(1, limit)
 	}
-	return out < ceiling
+	return ejected < limit
 }
 
-// CutOff returns the lowest rank that every member refuses, figpier.MaxRank when there is none.
+// CutOff returns the lowest rank that every available member refuses, figpier.MaxRank when there is none.
 func (t *Table) CutOff(now time.Time, members []*figpier.Member) figpier.Rank {
 	var highest figpier.Rank
 	for _, m := range members {
-		if st := t.state(m.Instance()); !m.Draining() && !st.ejected(now) {
-			highest = max(highest, st.told.At(now))
+		if st := t.stateOf(m.Instance()); !m.Draining() && !st.ejected(now) {
+			highest = max(highest, st.cutOff.At(now))
 		}
 	}
 	if highest == 0 {
@@ -221,7 +224,7 @@
 	return highest
 }
 
-// Ejected calls a function for each member that is out, with the time since when it is.
+// Ejected calls f for each ejected member with the time of its ejection.
 func (t *Table) Ejected(now time.Time, f func(m *figpier.Member, since time.Time)) {
 	for _, st := range t.states {
 		if st.ejected(now) {
@@ -230,25 +233,25 @@
 	}
 }
 
-// Forget drops what was seen of members that are not in use any more.
+// Forget removes members that have no calls in flight and were last available longer than after ago.
 func (t *Table) Forget(now time.Time, after time.Duration) {
 	for id, st := range t.states {
-		if st.inFlight == 0 && now.Sub(st.seen) > after {
+		if st.inFlight == 0 && now.Sub(st.lastSeen) > after {
 			delete(t.states, id)
 		}
 	}
 }
 
-func (t *Table) state(id figpier.InstanceID) *state {
+func (t *Table) stateOf(id figpier.InstanceID) *memberState {
 	st, ok := t.states[id]
 	if !ok {
-		st = &state{}
+		st = &memberState{}
 		t.states[id] = st
 	}
 	return st
 }
 
-func keep(members []*figpier.Member, f func(*figpier.Member) bool) []*figpier.Member {
+func filterMembers(members []*figpier.Member, f func(*figpier.Member) bool) []*figpier.Member {
 	var kept []*figpier.Member
 	for _, m := range members {
 		if f(m) {
--- a/internal/policy/routing/routing_test.go
+++ b/internal/policy/routing/routing_test.go
@@ -19,32 +19,33 @@
 	region     figpier.Region
 }{{"dc1", "north"}, {"dc2", "north"}, {"dc3", "south"}}
 
-// world is what the naive twin knows of one member.
-type world struct {
-	member   *figpier.Member
-	place    int
-	inFlight int
-	cutOff   figpier.Rank
-	failures int
-	until    time.Time
+// modelMember is the state of one member in the reference model.
+type modelMember struct {
+	member       *figpier.Member
+	place        int
+	inFlight     int
+	cutOff       figpier.Rank
+	failures     int
+	ejectedUntil time.Time
 }
 
-func (w *world) takesWork(now time.Time, tried []figpier.InstanceID) bool {
+func (w *modelMember) available(now time.Time, tried []figpier.InstanceID) bool {
 	for _, id := range tried {
 		if id == w.member.Instance() {
 			return false
 		}
 	}
-	return !w.member.Draining() && !now.Before(w.until)
+	return !w.member.Draining() && !now.Before(w.ejectedUntil)
 }
 
-// admissible returns the best class of members by going through the places and their members one by one.
-func admissible(all []*world, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (best []*world, verdict Verdict) {
+// modelCandidates returns the members that may be picked, by a search through free members before full ones and near places before
+// far ones.
+func modelCandidates(all []*modelMember, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (best []*modelMember, verdict Verdict) {
 	verdict = Nobody
 	for _, free := range []bool{true, false} {
 		for place := range places {
 			for _, w := range all {
-				if w.place != place || !w.takesWork(now, tried) {
+				if w.place != place || !w.available(now, tried) {
 					continue
 				}
 				if verdict == Nobody {
@@ -62,7 +63,7 @@
 	return nil, verdict
 }
 
-func (w *world) load() float64 {
+func (w *modelMember) load() float64 {
 	load := float64(w.inFlight+1) / float64(w.member.Slots())
 	if w.cutOff != figpier.MaxRank {
 		load++
@@ -70,7 +71,7 @@
 	return load
 }
 
-func drawWorlds(t *rapid.T) (all []*world, members []*figpier.Member) {
+func drawMembers(t *rapid.T) (all []*modelMember, members []*figpier.Member) {
 	for i := range rapid.IntRange(1, 8).Draw(t, "members") {
 		place := rapid.IntRange(0, len(places)-1).Draw(t, "place")
 		m := figpier.NewMember(figpier.MemberConfig{
@@ -81,21 +82,21 @@
 			Slots:      rapid.IntRange(1, 4).Draw(t, "slots"),
 			Draining:   rapid.IntRange(0, 4).Draw(t, "draining") == 0,
 		})
-		all = append(all, &world{member: m, place: place, cutOff: figpier.MaxRank})
+		all = append(all, &modelMember{member: m, place: place, cutOff: figpier.MaxRank})
 		members = append(members, m)
 	}
 	return all, members
 }
 
-func TestPicksAsTheNaiveTwin(t *testing.T) {
+func TestPickMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, members := drawWorlds(t)
+		all, members := drawMembers(t)
 		table := New(Config{DataCentre: "dc1", Region: "north", Seed: rapid.Uint64().Draw(t, "seed")})
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
 			if rapid.Bool().Draw(t, "end") {
-				end(t, table, all, members, now)
+				endCall(t, table, all, members, now)
 				continue
 			}
 			r := figpier.Rank(rapid.IntRange(0, 9).Draw(t, "rank"))
@@ -103,23 +104,23 @@
 			if rapid.Bool().Draw(t, "retry") {
 				tried = append(tried, members[0].Instance())
 			}
-			best, want := admissible(all, now, r, tried)
+			best, want := modelCandidates(all, now, r, tried)
 			m, verdict := table.Pick(now, service, members, r, tried)
 			assert.Equal(t, verdict, want)
 			if verdict != Picked {
 				continue
 			}
-			w := among(best, m)
-			assert.Assert(t, w != nil, "%s is not admissible", m.Instance())
-			assert.Assert(t, len(best) == 1 || !worst(best, w), "%s has the greatest load", m.Instance())
+			w := findMember(best, m)
+			assert.Assert(t, w != nil, "%s may not be picked", m.Instance())
+			assert.Assert(t, len(best) == 1 || !hasGreatestLoad(best, w), "%s has the greatest load", m.Instance())
 			table.Begin(m)
 			w.inFlight++
 		}
 	})
 }
 
-// end ends a call at a member, if it has one, and has the twin learn the same.
-func end(t *rapid.T, table *Table, all []*world, members []*figpier.Member, now time.Time) {
+// endCall ends a call at a random member that has one, in the table and in the model.
+func endCall(t *rapid.T, table *Table, all []*modelMember, members []*figpier.Member, now time.Time) {
 	w := rapid.SampledFrom(all).Draw(t, "member")
 	if w.inFlight == 0 {
 		return
@@ -130,12 +131,12 @@
 		w.failures++
 		out := 0
 		for _, o := range all {
-			if now.Before(o.until) {
+			if now.Before(o.ejectedUntil) {
 				out++
 			}
 		}
-		if w.failures >= 3 && !now.Before(w.until) && len(all) > 1 && out < max(1, len(all)/3) {
-			w.failures, w.until = 0, now.Add(time.Second)
+		if w.failures >= 3 && !now.Before(w.ejectedUntil) && len(all) > 1 && out < max(1, len(all)/3) {
+			w.failures, w.ejectedUntil = 0, now.Add(time.Second)
 		}
 		return
 	}
@@ -144,7 +145,7 @@
 	table.End(now, w.member, members, figpier.OutcomeDone, w.cutOff)
 }
 
-func among(all []*world, m *figpier.Member) *world {
+func findMember(all []*modelMember, m *figpier.Member) *modelMember {
 	for _, w := range all {
 		if w.member == m {
 			return w
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// worst reports whether a member has more load than each of the others.
-func worst(all []*world, w *world) bool {
+// hasGreatestLoad reports whether a member has a greater load than each of the others.
+func hasGreatestLoad(all []*modelMember, w *modelMember) bool {
 	for _, o := range all {
 		if o != w && o.load() >= w.load() {
 			return false
@@ -163,7 +164,7 @@
 	return true
 }
 
-func TestEjectionGrowsAndEnds(t *testing.T) {
+func TestEjectionTimeDoublesAndEnds(t *testing.T) {
 	members := []*figpier.Member{
 		figpier.NewMember(figpier.MemberConfig{Instance: "a", Slots: 4}),
 		figpier.NewMember(figpier.MemberConfig{Instance: "b", Slots: 4}),
@@ -188,8 +189,8 @@
 	}
 }
 
-// TestMemberThatComesBackStartsSlowly counts how the calls spread after a member drained and came back.
-func TestMemberThatComesBackStartsSlowly(t *testing.T) {
+// TestReturningMemberStartsSlowly counts the calls per member before and after one of them drains and returns.
+func TestReturningMemberStartsSlowly(t *testing.T) {
 	member := func(id figpier.InstanceID, draining bool) *figpier.Member {
 		return figpier.NewMember(figpier.MemberConfig{Instance: id, Slots: 40, Draining: draining})
 	}
@@ -215,11 +216,11 @@
 	assert.Equal(t, spread([]*figpier.Member{both[0], member("b", true)})["b"], 0)
 	slow := spread(both)["b"]
 	assert.Assert(t, slow > 0 && slow < 5, "%d of 20", slow)
-	now = now.Add(slowStart)
+	now = now.Add(slowStartDuration)
 	assert.Equal(t, spread(both)["b"], 10)
 }
 
-func TestExpiryEjectsOnlyAMemberThatIsSilentAlone(t *testing.T) {
+func TestExpiryEjectsOnlySoleSilentMember(t *testing.T) {
 	a := figpier.NewMember(figpier.MemberConfig{Instance: "a", Slots: 4})
 	b := figpier.NewMember(figpier.MemberConfig{Instance: "b", Slots: 4})
 	members, start := []*figpier.Member{a, b}, time.Unix(0, 0)
@@ -248,7 +249,7 @@
 	}
 }
 
-func TestEjectionHasACeiling(t *testing.T) {
+func TestEjectedFractionIsLimited(t *testing.T) {
 	for n, ceiling := range map[int]int{1: 0, 2: 1, 3: 1, 6: 2, 9: 3} {
 		table, now := New(Config{}), time.Unix(0, 0)
 		var members []*figpier.Member
