--- a/internal/policy/quota/debt_test.go
+++ b/internal/policy/quota/debt_test.go
@@ -8,7 +8,7 @@
 	"github.com/figpier/figpier"
 )
 
-func TestDebtIsBoundedByTheLoanUntilItIsPaid(t *testing.T) {
+func TestDebtIsBoundedByLoan(t *testing.T) {
 	d := NewDebt(0)
 	assert.Assert(t, d.Borrow("valv", 2.9))
 	assert.Assert(t, d.Borrow("valv", 2.9))
@@ -22,7 +22,7 @@
 	assert.Equal(t, d.Owed("valv"), 0)
 }
 
-func TestLoansOfLessThanOneRequestAddUp(t *testing.T) {
+func TestFractionalLoansAddUpOverNodes(t *testing.T) {
 	const (
 		nodes = 80
 		loan  = 0.3
@@ -37,7 +37,7 @@
 	assert.Equal(t, owed, int(loan*nodes))
 }
 
-func TestOwedTokensArePaidOnlyAsFarAsThereAreAny(t *testing.T) {
+func TestPayIsBoundedByAvailableTokens(t *testing.T) {
 	p := newTable()
 	l := limit(10, 10)
 	now := start.Add(window)
@@ -49,14 +49,14 @@
 	assert.Equal(t, p.Pay(now, "valv", l, 1, 3), 0)
 }
 
-func TestTokensOnlyMove(t *testing.T) {
+func TestTransferConservesTokens(t *testing.T) {
 	from, to := newTable(), newTable()
 	l := limit(10, 10)
 	now := start.Add(window)
 	tokens := from.Spare(now, figpier.CustomerID("valv"), l, 0.5)
 	assert.Assert(t, tokens > 0)
 	_, left := from.Take(now, "valv", l, 0.5)
-	assert.Assert(t, !left, "what was given away is spent")
+	assert.Assert(t, !left, "transferred tokens can't be spent here")
 	to.Receive("valv", tokens)
 	taken := 0
 	for {
--- a/internal/policy/quota/doc.go
+++ b/internal/policy/quota/doc.go
@@ -1,2 +1,2 @@
-// Package quota decides how much of a customer's limit over the whole fleet one node may spend by itself.
+// Package quota divides the rate limit of a customer between the nodes and the control instances that enforce it.
 package quota
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(100, 0)
 
-// window is the span over which the tests judge a customer.
+// window is the period over which the tests bound the requests of a customer.
 const window = 5 * time.Second
 
 func newTable() *Table {
@@ -22,7 +22,7 @@
 	return figpier.NewLimit(figpier.LimitConfig{Rate: rate, Burst: burst})
 }
 
-func TestPartsOfALimitAddUpToOne(t *testing.T) {
+func TestSharesOfLimitAddUpToOne(t *testing.T) {
 	for _, l := range []figpier.Limit{limit(2, 2), limit(16, 16), limit(84, 84), limit(5000, 5000)} {
 		for _, nodes := range []int{1, 3, 24, 91, 1000} {
 			p := newTable()
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestNoWindowHasMoreThanTheLimitAllows(t *testing.T) {
+func TestNoWindowExceedsLimit(t *testing.T) {
 	for _, l := range []figpier.Limit{limit(2, 2), limit(16, 16), limit(84, 40)} {
 		p := newTable()
 		var taken []time.Time
@@ -61,10 +61,10 @@
 	}
 }
 
-func TestRestartedProcessBeginsWithNothing(t *testing.T) {
+func TestNewTableStartsWithEmptyBuckets(t *testing.T) {
 	p := newTable()
 	_, ok := p.Take(start, "valv", limit(10, 50), 1)
-	assert.Assert(t, !ok, "what was spent before the start is not known")
+	assert.Assert(t, !ok, "a new bucket must be empty")
 	wait, ok := p.Take(start.Add(50*time.Millisecond), "valv", limit(10, 50), 1)
 	assert.Assert(t, !ok)
 	assert.Equal(t, wait, 50*time.Millisecond)
@@ -72,14 +72,14 @@
 	assert.Assert(t, ok)
 }
 
-func TestUnknownNumberOfNodesIsSharedByNone(t *testing.T) {
+func TestSharesAreZeroForUnknownNodeCount(t *testing.T) {
 	p := newTable()
 	assert.Equal(t, p.NodeShare(limit(5000, 5000), 0), 0.0)
 	assert.Equal(t, p.AloneShare(limit(5000, 5000), 0), 0.0)
 	assert.Equal(t, p.Loan(limit(5000, 5000), 0), 0.0)
 }
 
-func TestNoLimitIsNoLimit(t *testing.T) {
+func TestZeroRateIsUnlimited(t *testing.T) {
 	_, ok := newTable().Take(start, "valv", limit(0, 0), 0)
 	assert.Assert(t, ok)
 }
--- a/internal/policy/rank/doc.go
+++ b/internal/policy/rank/doc.go
@@ -1,5 +1,5 @@
-// Package rank decides the one place of a whole request in the order of shedding, which every hop then uses.
+// Package rank computes the rank of an end-to-end request: its position in the order in which every hop sheds load.
 //
-// That all hops of a call tree shed by one order is the idea of DAGOR (Zhou et al., "Overload Control for Scaling WeChat
+// Using one order at all hops of a call tree follows DAGOR (Zhou et al., "Overload Control for Scaling WeChat
 // Microservices", SoCC 2018).
 package rank
--- a/internal/policy/rank/rank.go
+++ b/internal/policy/rank/rank.go
@@ -9,123 +9,130 @@
 	"github.com/figpier/figpier"
 )
 
-// Layout of a rank, from the most to the least significant bits: class, level, tie.
+// Bit fields of a rank, from most to least significant: priority class, level and tie-breaker.
 const (
 	tieBits   = 12
 	levelBits = 16
 	maxLevel  = 1<<levelBits - 1
 )
 
-// Levels are logarithmic: level 0 is 2^lowestOctave slots of work for each unit of weight.
+// Levels are logarithmic in the demand per unit of weight, in busy slots. Level 0 is a demand of 2^lowestOctave.
 const (
 	lowestOctave    = -20.0
 	levelsPerOctave = 2048.0
 )
 
-// Octave is the distance in rank between a request and one of twice its level.
+// Octave is the difference in rank between a request and one of the same class with twice the demand.
 const Octave = uint32(levelsPerOctave) << tieBits
 
 const (
-	defaultWindow   = 2 * time.Second
-	defaultWork     = 10 * time.Millisecond
-	workGain        = 0.1
-	forgottenDemand = 1e-9
-	sweepWindows    = 30
+	defaultWindow = 2 * time.Second
+	// initialServiceTime is the estimate before any request has been served.
+	initialServiceTime = 10 * time.Millisecond
+	// serviceTimeGain is the weight of a new sample in the moving averages of service time.
+	serviceTimeGain = 0.1
+	// minKeptDemand is the demand, in seconds of service time, below which a customer is removed.
+	minKeptDemand = 1e-9
+	// sweepIntervalWindows is the interval between sweeps, in windows.
+	sweepIntervalWindows = 30
 )
 
-// Config builds a Ranker.
+// Config holds the arguments of New.
 type Config struct {
-	// Window is the time over which a customer's demand is averaged, 2 s when 0.
+	// Window is the time constant of the average of a customer's demand, 2 s when 0.
 	Window time.Duration
 }
 
-// Ranker measures the work that each customer asks for and ranks requests by it.
+// Ranker estimates the demand of each customer and ranks requests by it. It is not safe for concurrent use.
 type Ranker struct {
 	window    time.Duration
 	customers map[figpier.CustomerID]*demand
-	work      float64
-	swept     time.Time
+	// meanServiceTime is the moving average over all customers, in seconds.
+	meanServiceTime float64
+	lastSweep       time.Time
 }
 
-// demand is the decayed work that one customer asked for, in seconds of service time.
+// demand is the recent demand of one customer.
 type demand struct {
-	asked   float64
-	work    float64
-	updated time.Time
+	// requested is the exponentially decayed sum of the service times of the requests, in seconds.
+	requested float64
+	// serviceTime is the moving average of the customer's service times in seconds, 0 before the first one.
+	serviceTime float64
+	updated     time.Time
 }
 
-// New returns a ranker that has seen no request.
+// New returns a ranker without customers.
 func New(c Config) *Ranker {
 	if c.Window == 0 {
 		c.Window = defaultWindow
 	}
 	return &Ranker{
-		window:    c.Window,
-		customers: map[figpier.CustomerID]*demand{},
-		work:      defaultWork.Seconds(),
+		window:          c.Window,
+		customers:       map[figpier.CustomerID]*demand{},
+		meanServiceTime: initialServiceTime.Seconds(),
 	}
 }
 
-// Request is what the rank of a request depends on.
+// Request holds the properties of a request that determine its rank.
 type Request struct {
 	config RequestConfig
 }
 
-// RequestConfig builds a Request.
+// RequestConfig holds the arguments of NewRequest.
 type RequestConfig struct {
-	// ID is the request's name.
+	// ID is the identifier of the end-to-end request.
 	ID figpier.RequestID
-	// Customer is who asks, empty on open routes.
+	// Customer is the sender of the request, empty on open routes.
 	Customer figpier.CustomerID
-	// Weight is the customer's fair-share weight.
+	// Weight is the customer's fair-share weight; 0 or less counts as 1.
 	Weight float64
 	// Class is the priority class of the route.
 	Class figpier.PriorityClass
 }
 
-// NewRequest returns a request to rank.
+// NewRequest returns an immutable request.
 func NewRequest(c RequestConfig) Request { return Request{config: c} }
 
-// Rank counts a request into its customer's demand and returns its rank.
+// Rank adds a request to its customer's demand and returns its rank.
 //
-// Within a class, a request has the level u*D/w, where D is the work per second that the customer asks for, w its weight and
-// u in (0,1] the hash of the request id. A cut at level L then leaves each customer min(D, L*w), which is the weighted
-// max-min fair share for which L is the water level.
+// Within a class, the level is u*D/w, where D is the demand of the customer as service time per second, w its weight and
+// u in (0,1] a hash of the request ID. Refusing all levels above L leaves each customer min(D, L*w), which is the weighted
+// max-min fair share.
 func (r *Ranker) Rank(now time.Time, q Request) figpier.Rank {
 	r.sweep(now)
-	d := r.of(now, q.config.Customer)
+	d := r.demandOf(now, q.config.Customer)
 	d.decay(now, r.window)
-	d.asked += r.workOf(d)
+	d.requested += r.serviceTimeOf(d)
 
 	hash := xxh3.HashString(string(q.config.ID))
-	part := (float64(hash>>32) + 1) / (1 << 32)
-	share := d.asked / r.window.Seconds() / positive(q.config.Weight)
+	fraction := (float64(hash>>32) + 1) / (1 << 32)
+	weightedDemand := d.requested / r.window.Seconds() / weightOrDefault(q.config.Weight)
 	tie := uint32(hash) & (1<<tieBits - 1)
-	return compose(q.config.Class, level(part*share), tie)
+	return compose(q.config.Class, levelOf(fraction*weightedDemand), tie)
 }
 
-// Served takes in the service time that a customer's request took at the backend server.
+// Served records the service time of a customer's request at the backend server, to estimate that of later requests.
 func (r *Ranker) Served(now time.Time, c figpier.CustomerID, elapsed time.Duration) {
-	r.work += workGain * (elapsed.Seconds() - r.work)
-	d := r.of(now, c)
-	if d.work == 0 {
-		d.work = elapsed.Seconds()
+	r.meanServiceTime += serviceTimeGain * (elapsed.Seconds() - r.meanServiceTime)
+	d := r.demandOf(now, c)
+	if d.serviceTime == 0 {
+		d.serviceTime = elapsed.Seconds()
 		return
 	}
-	d.work += workGain * (elapsed.Seconds() - d.work)
+	d.serviceTime += serviceTimeGain * (elapsed.Seconds() - d.serviceTime)
 }
 
-// Demand returns the work that a customer asks for, in slots that it would keep busy.
+// Demand returns the demand of a customer as the number of slots that it would keep busy.
 func (r *Ranker) Demand(now time.Time, c figpier.CustomerID) float64 {
 	d, ok := r.customers[c]
 	if !ok {
 		return 0
 	}
 	d.decay(now, r.window)
-	return d.asked / r.window.Seconds()
+	return d.requested / r.window.Seconds()
 }
 
-func (r *Ranker) of(now time.Time, c figpier.CustomerID) *demand {
+func (r *Ranker) demandOf(now time.Time, c figpier.CustomerID) *demand {
 	d, ok := r.customers[c]
 	if !ok {
 		d = &demand{updated: now}
@@ -134,22 +141,23 @@
 	return d
 }
 
-func (r *Ranker) workOf(d *demand) float64 {
-	if d.work > 0 {
-		return d.work
+// serviceTimeOf returns the expected service time of a request in seconds.
+func (r *Ranker) serviceTimeOf(d *demand) float64 {
+	if d.serviceTime > 0 {
+		return d.serviceTime
 	}
-	return r.work
+	return r.meanServiceTime
 }
 
-// sweep forgets customers that have asked for nothing for many windows.
+// sweep removes the customers whose demand has decayed to almost nothing.
 func (r *Ranker) sweep(now time.Time) {
-	if now.Sub(r.swept) < sweepWindows*r.window {
+	if now.Sub(r.lastSweep) < sweepIntervalWindows*r.window {
 		return
 	}
-	r.swept = now
+	r.lastSweep = now
 	for c, d := range r.customers {
 		d.decay(now, r.window)
-		if d.asked < forgottenDemand {
+		if d.requested < minKeptDemand {
 			delete(r.customers, c)
 		}
 	}
@@ -160,18 +168,19 @@
 	if age <= 0 {
 		return
 	}
-	d.asked *= math.Exp(-age.Seconds() / window.Seconds())
+	d.requested *= math.Exp(-age.Seconds() / window.Seconds())
 	d.updated = now
 }
 
-func positive(weight float64) float64 {
+func weightOrDefault(weight float64) float64 {
 	if weight > 0 {
 		return weight
 	}
 	return 1
 }
 
-func level(work float64) uint32 {
+// levelOf returns the logarithmic level of a weighted demand, within the range of the bit field.
+func levelOf(work float64) uint32 {
 	l := (math.Log2(work) - lowestOctave) * levelsPerOctave
 	return uint32(min(max(l, 0), maxLevel))
 }
@@ -181,7 +190,7 @@
 	return figpier.Rank(class<<(levelBits+tieBits) | level<<tieBits | tie)
 }
 
-// Class returns the priority class that a rank was made from.
+// Class returns the priority class contained in a rank.
 func Class(r figpier.Rank) figpier.PriorityClass {
 	return figpier.PriorityClass(r >> (levelBits + tieBits))
 }
