--- a/internal/policy/budget/budget.go
+++ b/internal/policy/budget/budget.go
@@ -6,72 +6,73 @@
 	"github.com/figpier/figpier"
 )
 
-// slices is the number of parts that a window slides by.
-const slices = 20
+// slotsPerWindow is the number of slots into which a window is divided; the window advances by one slot at a time.
+const slotsPerWindow = 20
 
-// Config builds a Table.
+// Config holds the arguments of New.
 type Config struct {
-	// Share is the most retries for each first attempt within the window.
+	// Share is the maximum ratio of retries to first attempts within the window.
 	Share float64
-	// Window is the span over which retries are counted.
+	// Window is the period over which attempts are counted.
 	Window time.Duration
-	// Free is the number of retries that a service has within the window besides.
+	// Free is the number of retries allowed within the window in addition to Share.
 	Free float64
 }
 
-// Table counts the attempts at each service.
+// Table counts the first attempts and retries of each service. It is not safe for concurrent use.
 type Table struct {
 	config   Config
-	services map[figpier.UpstreamService]*counts
+	services map[figpier.UpstreamService]*slotCounts
 }
 
-// counts are the attempts at one service by parts of the window, the newest at the index of the current part.
-type counts struct {
-	firsts  [slices]int
-	retries [slices]int
-	part    int64
+// slotCounts is a ring buffer of the attempts at one service for each slot of the window.
+type slotCounts struct {
+	firsts  [slotsPerWindow]int
+	retries [slotsPerWindow]int
+	// currentSlot is the number of the newest slot since the Unix epoch; its index is the remainder by slotsPerWindow.
+	currentSlot int64
 }
 
-// New returns a table that has seen no attempt.
+// New returns a table without attempts.
 func New(c Config) *Table {
-	return &Table{config: c, services: map[figpier.UpstreamService]*counts{}}
+	return &Table{config: c, services: map[figpier.UpstreamService]*slotCounts{}}
 }
 
-// First counts a first attempt.
+// First records a first attempt.
 func (t *Table) First(now time.Time, s figpier.UpstreamService) {
-	c := t.at(now, s)
-	c.firsts[c.part%slices]++
+	c := t.countsAt(now, s)
+	c.firsts[c.currentSlot%slotsPerWindow]++
 }
 
-// Retry counts a retry and reports whether the service's budget allows it.
+// Retry reports whether the budget of the service allows a retry, and counts it if so.
 func (t *Table) Retry(now time.Time, s figpier.UpstreamService) bool {
-	c := t.at(now, s)
+	c := t.countsAt(now, s)
 	firsts, retries := 0, 0
-	for i := range slices {
+	for i := range slotsPerWindow {
 		firsts += c.firsts[i]
 		retries += c.retries[i]
 	}
 	if float64(retries+1) > t.config.Share*float64(firsts)+t.config.Free {
 		return false
 	}
-	c.retries[c.part%slices]++
+	c.retries[c.currentSlot%slotsPerWindow]++
 	return true
 }
 
-// at returns the counts of a service with the parts cleared that have left the window.
-func (t *Table) at(now time.Time, s figpier.UpstreamService) *counts {
-	part := now.UnixNano() / int64(t.config.Window/slices)
+// countsAt returns the counts of a service after clearing the slots that have left the window.
+func (t *Table) countsAt(now time.Time, s figpier.UpstreamService) *slotCounts {
+	slot := now.UnixNano() / int64(t.config.Window/slotsPerWindow)
 	c, ok := t.services[s]
 	if !ok {
-		c = &counts{part: part}
+		c = &slotCounts{currentSlot: slot}
 		t.services[s] = c
 	}
-	if part-c.part >= slices {
-		*c = counts{part: part}
+	if slot-c.currentSlot >= slotsPerWindow {
+		*c = slotCounts{currentSlot: slot}
 	}
-	for c.part < part {
-		c.part++
-		c.firsts[c.part%slices], c.retries[c.part%slices] = 0, 0
+	for c.currentSlot < slot {
+		c.currentSlot++
+		c.firsts[c.currentSlot%slotsPerWindow], c.retries[c.currentSlot%slotsPerWindow] = 0, 0
 	}
 	return c
 }
--- a/internal/policy/budget/budget_test.go
+++ b/internal/policy/budget/budget_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNoWindowHasMoreRetriesThanItsShare(t *testing.T) {
+func TestNoWindowExceedsRetryShare(t *testing.T) {
 	const window = 10 * time.Second
 	table := New(Config{Share: 0.1, Window: window, Free: 2})
 	random := rand.New(rand.NewPCG(1, 1))
@@ -37,13 +37,13 @@
 		if i%50 != 0 {
 			continue
 		}
-		// A window's retries were earned by first attempts of that window and the one before.
+		// The retries of a window are earned by first attempts of that window and the one before it.
 		most := 0.1*float64(within(firsts, from.Add(-window))) + 2*2
 		assert.Assert(t, float64(within(retries, from)) <= most)
 	}
 }
 
-func TestRetriesComeBackWhenTheWindowHasPassed(t *testing.T) {
+func TestRetriesExpireWithWindow(t *testing.T) {
 	table := New(Config{Share: 0, Window: time.Second, Free: 1})
 	now := time.Unix(0, 0)
 	assert.Assert(t, table.Retry(now, "s"))
--- a/internal/policy/budget/doc.go
+++ b/internal/policy/budget/doc.go
@@ -1,2 +1,2 @@
-// Package budget bounds the retries to each service by a share of the requests for it over a sliding window.
+// Package budget limits the retries to each service to a ratio of its first attempts over a sliding window.
 package budget
--- a/internal/policy/retry/doc.go
+++ b/internal/policy/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry decides which attempts are made again: within the budget of the whole call tree, within a share of first
-// attempts, and only where a retry is safe and may help.
+// Package retry decides which attempts are retried. A retry must be safe and likely to help, and is limited by the budget of
+// the whole call tree and by the ratio of retries to first attempts.
 package retry
--- a/internal/policy/retry/judge.go
+++ b/internal/policy/retry/judge.go
@@ -8,21 +8,26 @@
 )
 
 const (
-	maxCredit       = 10.0 // retries that a customer may save up, and begins with
-	overloadWindow  = time.Second
-	overloadLeast   = 5.0 // first attempts in the window before a service is judged as a whole
-	overloadedShare = 0.2
-	forgottenAfter  = time.Minute
-	sweepInterval   = 10 * time.Second
+	// maxCredit is the initial and the maximum number of retries in a customer's credit.
+	maxCredit = 10.0
+	// overloadWindow is the time constant with which the attempts at a service are forgotten.
+	overloadWindow = time.Second
+	// minOverloadAttempts is the minimum of recent first attempts for a service to count as overloaded as a whole.
+	minOverloadAttempts = 5.0
+	// maxOverloadedFraction is the ratio of overload refusals to first attempts above which a service counts as overloaded.
+	maxOverloadedFraction = 0.2
+	// creditExpiry is the time after which unused credit is removed.
+	creditExpiry  = time.Minute
+	sweepInterval = 10 * time.Second
 )
 
-// Pair is a customer at a service.
+// Pair is a customer at a service, for which the ratio of retries is limited.
 type Pair struct {
 	customer figpier.CustomerID
 	service  figpier.UpstreamService
 }
 
-// NewPair returns a customer at a service.
+// NewPair returns the pair of a customer and a service.
 func NewPair(c figpier.CustomerID, s figpier.UpstreamService) Pair {
 	return Pair{customer: c, service: s}
 }
@@ -33,65 +38,67 @@
 // Service returns the service.
 func (p Pair) Service() figpier.UpstreamService { return p.service }
 
-// Judge decides on retries.
+// Judge decides whether attempts are retried. It is not safe for concurrent use.
 type Judge struct {
-	credits  map[Pair]*credit
-	services map[figpier.UpstreamService]*record
-	swept    time.Time
+	credits   map[Pair]*credit
+	services  map[figpier.UpstreamService]*attemptStats
+	lastSweep time.Time
 }
 
-// credit is the retries that a customer's first attempts at a service have earned.
+// credit is the balance of retries that first attempts of a customer at a service have earned.
 type credit struct {
-	left float64
-	used time.Time
+	balance  float64
+	lastUsed time.Time
 }
 
-// record is the decayed number of attempts at a service, and of those that it refused as overloaded.
-type record struct {
+// attemptStats holds the exponentially decayed numbers of first attempts at a service and of attempts that it
+// refused because of overload.
+type attemptStats struct {
 	attempts, overloaded float64
 	updated              time.Time
 }
 
-// New returns a judge that has seen no attempt.
+// New returns a judge without attempts.
 func New() *Judge {
-	return &Judge{credits: map[Pair]*credit{}, services: map[figpier.UpstreamService]*record{}}
+	return &Judge{credits: map[Pair]*credit{}, services: map[figpier.UpstreamService]*attemptStats{}}
 }
 
-// First takes in a first attempt; share is the most retries for each first attempt.
+// First records a first attempt. share is the number of retries that it earns.
 func (j *Judge) First(now time.Time, p Pair, share float64) {
 	j.sweep(now)
-	c := j.credit(p)
-	c.left = min(maxCredit, c.left+share)
-	c.used = now
-	j.record(now, p.service).attempts++
+	c := j.creditOf(p)
+	c.balance = min(maxCredit, c.balance+share)
+	c.lastUsed = now
+	j.statsOf(now, p.service).attempts++
 }
 
-// AttemptConfig builds an Attempt.
+// AttemptConfig holds the arguments of NewAttempt.
 type AttemptConfig struct {
 	// Pair is the customer at the service.
 	Pair Pair
-	// Kind is how the attempt ended.
+	// Kind is the outcome of the attempt.
 	Kind figpier.OutcomeKind
-	// Idempotent says that the request may run twice.
+	// Idempotent marks a request that may safely run more than once.
 	Idempotent bool
-	// Deadline is when the request ends.
+	// Deadline is the time at which the request times out.
 	Deadline time.Time
 }
 
-// Attempt is an attempt that ended without a whole answer.
+// Attempt describes a finished attempt that may be retried.
 type Attempt struct {
 	config AttemptConfig
 }
 
-// NewAttempt returns an attempt to judge.
+// NewAttempt returns an immutable attempt.
 func NewAttempt(c AttemptConfig) Attempt { return Attempt{config: c} }
 
-// Again decides whether an attempt is followed by another, takes one from the tree budget if so, and gives the reason.
+// Again reports whether an attempt is to be retried, and the reason for the decision. It calls take(1) to take the retry
+// from the budget of the call tree, which returns 0 if none is left.
 func (j *Judge) Again(now time.Time, a Attempt, take func(n int) int) (bool, figpier.RetryReason) {
 	c := a.config
-	j.credit(c.Pair).used = now
+	j.creditOf(c.Pair).lastUsed = now
 	if c.Kind == figpier.OutcomeOverloaded {
-		j.record(now, c.Pair.service).overloaded++
+		j.statsOf(now, c.Pair.service).overloaded++
 	}
 	reason, safe := reasonFor(c.Kind, c.Idempotent)
 	switch {
@@ -101,22 +108,22 @@
 		return false, figpier.NoRetryDeadline
 	case c.Kind == figpier.OutcomeOverloaded && j.Overloaded(now, c.Pair.service):
 		return false, figpier.NoRetryOverload
-	case j.credit(c.Pair).left < 1:
+	case j.creditOf(c.Pair).balance < 1:
 		return false, figpier.NoRetryShare
 	case take(1) == 0:
 		return false, figpier.NoRetryBudget
 	}
-	j.credit(c.Pair).left--
+	j.creditOf(c.Pair).balance--
 	return true, reason
 }
 
-// Overloaded reports whether a service as a whole refuses calls as overloaded.
+// Overloaded reports whether a service as a whole, and not only one of its members, refuses calls because of overload.
 func (j *Judge) Overloaded(now time.Time, s figpier.UpstreamService) bool {
-	r := j.record(now, s)
-	return r.attempts >= overloadLeast && r.overloaded > overloadedShare*r.attempts
+	stats := j.statsOf(now, s)
+	return stats.attempts >= minOverloadAttempts && stats.overloaded > maxOverloadedFraction*stats.attempts
 }
 
-// reasonFor returns the reason for a retry that is safe, or the reason why none is.
+// reasonFor reports whether a retry after the outcome is safe, and the reason for or against it.
 func reasonFor(k figpier.OutcomeKind, idempotent bool) (reason figpier.RetryReason, safe bool) {
 	switch k {
 	case figpier.OutcomeUnreached:
@@ -135,37 +142,40 @@
 	}
 }
 
-func (j *Judge) credit(p Pair) *credit {
+// creditOf returns the credit of a pair, which starts at maxCredit.
+func (j *Judge) creditOf(p Pair) *credit {
 	c, ok := j.credits[p]
 	if !ok {
-		c = &credit{left: maxCredit}
+		c = &credit{balance: maxCredit}
 		j.credits[p] = c
 	}
 	return c
 }
 
-func (j *Judge) record(now time.Time, s figpier.UpstreamService) *record {
-	r, ok := j.services[s]
+// statsOf returns the statistics of a service, decayed to the given time.
+func (j *Judge) statsOf(now time.Time, s figpier.UpstreamService) *attemptStats {
+	stats, ok := j.services[s]
 	if !ok {
-		r = &record{updated: now}
-		j.services[s] = r
+		stats = &attemptStats{updated: now}
+		j.services[s] = stats
 	}
-	if age := now.Sub(r.updated); age > 0 {
-		keep := math.Exp(-age.Seconds() / overloadWindow.Seconds())
-		r.attempts *= keep
-		r.overloaded *= keep
-		r.updated = now
+	if age := now.Sub(stats.updated); age > 0 {
+		decay := math.Exp(-age.Seconds() / overloadWindow.Seconds())
+		stats.attempts *= decay
+		stats.overloaded *= decay
+		stats.updated = now
 	}
-	return r
+	return stats
 }
 
+// sweep removes expired credit, at most once in sweepInterval.
 func (j *Judge) sweep(now time.Time) {
-	if now.Sub(j.swept) < sweepInterval {
+	if now.Sub(j.lastSweep) < sweepInterval {
 		return
 	}
-	j.swept = now
+	j.lastSweep = now
 	for p, c := range j.credits {
-		if now.Sub(c.used) > forgottenAfter {
+		if now.Sub(c.lastUsed) > creditExpiry {
 			delete(j.credits, p)
 		}
 	}
--- a/internal/policy/retry/pacer.go
+++ b/internal/policy/retry/pacer.go
@@ -6,46 +6,49 @@
 	"github.com/figpier/figpier"
 )
 
-const maxPaced = 100_000
+// maxTrackedKeys bounds the memory of a Pacer. Attempts with further keys are not paced.
+const maxTrackedKeys = 100_000
 
-// Pacer holds callers to the least time between their attempts at one request, which they name by its idempotency key.
+// Pacer enforces a minimum time between a caller's attempts with the same idempotency key. It is not safe for concurrent use.
 type Pacer struct {
-	last  map[paced]time.Time
-	swept time.Time
+	lastAttempts map[attemptKey]time.Time
+	lastSweep    time.Time
 }
 
-type paced struct {
+type attemptKey struct {
 	customer figpier.CustomerID
 	key      figpier.IdempotencyKey
 }
 
-// NewPacer returns a pacer that has seen no attempt.
-func NewPacer() *Pacer { return &Pacer{last: map[paced]time.Time{}} }
+// NewPacer returns a pacer without attempts.
+func NewPacer() *Pacer { return &Pacer{lastAttempts: map[attemptKey]time.Time{}} }
 
-// Attempt takes in a caller's attempt and returns how much too soon it comes, 0 when it may go on.
+// Attempt returns the time that a caller must wait before the attempt, 0 when it may proceed. Only attempts that may
+// proceed are recorded.
 func (p *Pacer) Attempt(now time.Time, c figpier.CustomerID, k figpier.IdempotencyKey, interval time.Duration) time.Duration {
 	if k == "" || interval <= 0 {
 		return 0
 	}
 	p.sweep(now, interval)
-	name := paced{customer: c, key: k}
-	if last, ok := p.last[name]; ok && now.Sub(last) < interval {
+	key := attemptKey{customer: c, key: k}
+	if last, ok := p.lastAttempts[key]; ok && now.Sub(last) < interval {
 		return interval - now.Sub(last)
 	}
-	if len(p.last) < maxPaced {
-		p.last[name] = now
+	if len(p.lastAttempts) < maxTrackedKeys {
+		p.lastAttempts[key] = now
 	}
 	return 0
 }
 
+// sweep removes the attempts that no longer delay others, at most once in each interval.
 func (p *Pacer) sweep(now time.Time, interval time.Duration) {
-	if now.Sub(p.swept) < interval {
+	if now.Sub(p.lastSweep) < interval {
 		return
 	}
-	p.swept = now
-	for name, last := range p.last {
+	p.lastSweep = now
+	for name, last := range p.lastAttempts {
 		if now.Sub(last) >= interval {
-			delete(p.last, name)
+			delete(p.lastAttempts, name)
 		}
 	}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -11,28 +11,28 @@
 	"github.com/figpier/figpier"
 )
 
-// tree counts what the hops of one request do.
-type tree struct {
+// callTree simulates the hops of one request and counts their retries and lost budgets.
+type callTree struct {
 	t         *rapid.T
 	extra     int
 	forfeited int
 	ended     int
 }
 
-// call runs one hop with random children, failures and lost answers, and returns the budget that it brings home.
-func (r *tree) call(depth int, b Budget) int {
+// runHop runs one hop with random children, failures and lost answers, and returns its unused budget.
+func (r *callTree) runHop(depth int, b Budget) int {
 	if depth < 4 {
 		for range rapid.IntRange(0, 2).Draw(r.t, "children") {
-			r.exit(depth+1, &b)
+			r.runExit(depth+1, &b)
 		}
 	}
 	return b.Unused()
 }
 
-func (r *tree) exit(depth int, b *Budget) {
+func (r *callTree) runExit(depth int, b *Budget) {
 	for {
 		portion := b.Take(b.Portion())
-		home := r.call(depth, NewBudget(portion))
+		home := r.runHop(depth, NewBudget(portion))
 		if rapid.IntRange(0, 3).Draw(r.t, "lost") == 0 {
 			r.forfeited += home
 			home = 0
@@ -46,24 +46,24 @@
 	}
 }
 
-// TestTreeBudgetIsConserved compares the hops' own budgets with one counter for the whole tree.
+// TestTreeBudgetIsConserved compares the budgets of the hops with counters for the whole tree.
 func TestTreeBudgetIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		given := rapid.IntRange(0, 12).Draw(t, "budget")
-		r := &tree{t: t}
-		home := r.call(0, NewBudget(given))
+		r := &callTree{t: t}
+		home := r.runHop(0, NewBudget(given))
 		assert.Equal(t, r.extra+r.forfeited+home, given)
 	})
 }
 
-// past is one event as the naive twin keeps it: it keeps all of them.
-type past struct {
+// attemptEvent is an event in the reference model, which stores all of them.
+type attemptEvent struct {
 	pair  Pair
 	first bool
 }
 
-// earned replays all events of a pair.
-func earned(all []past, p Pair, share float64) float64 {
+// modelCredit computes the credit of a pair by replaying all its events.
+func modelCredit(all []attemptEvent, p Pair, share float64) float64 {
 	left := maxCredit
 	for _, e := range all {
 		if e.pair == p && e.first {
@@ -76,11 +76,11 @@
 	return left
 }
 
-func TestRetriesStayBelowTheirShareAsInTheNaiveTwin(t *testing.T) {
+func TestRetryShareMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share = 0.25
 		j, now := New(), time.Unix(0, 0)
-		var all []past
+		var all []attemptEvent
 		firsts, retries := map[Pair]int{}, map[Pair]int{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
@@ -88,23 +88,23 @@
 			if rapid.IntRange(0, 2).Draw(t, "event") > 0 {
 				j.First(now, p, share)
 				firsts[p]++
-				all = append(all, past{pair: p, first: true})
+				all = append(all, attemptEvent{pair: p, first: true})
 				continue
 			}
 			b := NewBudget(1)
 			a := NewAttempt(AttemptConfig{Pair: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
 			ok, _ := j.Again(now, a, b.Take)
-			assert.Equal(t, ok, earned(all, p, share) >= 1)
+			assert.Equal(t, ok, modelCredit(all, p, share) >= 1)
 			if ok {
 				retries[p]++
-				all = append(all, past{pair: p})
+				all = append(all, attemptEvent{pair: p})
 			}
 			assert.Assert(t, float64(retries[p]) <= maxCredit+share*float64(firsts[p]))
 		}
 	})
 }
 
-func TestReasons(t *testing.T) {
+func TestAgainReturnsReason(t *testing.T) {
 	now := time.Unix(100, 0)
 	cases := []struct {
 		name       string
@@ -135,7 +135,7 @@
 				j.First(now, p, 0.1)
 			}
 			if c.whole {
-				j.record(now, "booking").overloaded = 10
+				j.statsOf(now, "booking").overloaded = 10
 			}
 			deadline := now.Add(time.Second)
 			if c.late {
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestPacerAsTheNaiveTwin(t *testing.T) {
+func TestPacerMatchesReferenceModel(t *testing.T) {
 	const interval = 500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		p, now := NewPacer(), time.Unix(0, 0)
--- a/internal/policy/retry/seed_test.go
+++ b/internal/policy/retry/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// init makes every run draw the same cases, unless -rapid.seed is given.
+// init fixes the seed of property tests so that runs are reproducible. The -rapid.seed flag overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/policy/spell/doc.go
+++ b/internal/policy/spell/doc.go
@@ -1,2 +1,3 @@
-// Package spell keeps since when something has been happening again and again, such as one customer's requests being shed.
+// Package spell tracks episodes of repeated events, such as the shedding of one customer's requests: when each began and how
+// many events it has had.
 package spell
--- a/internal/policy/spell/spell.go
+++ b/internal/policy/spell/spell.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// Config builds a Table.
+// Config holds the arguments of New.
 type Config struct {
-	// Gap is the pause after which a spell is over.
+	// Gap is the time without an event after which an episode ends.
 	Gap time.Duration
-	// Most is the greatest number of spells that are kept.
+	// Most is the maximum number of concurrent episodes; events that would begin further ones are ignored.
 	Most int
 }
 
-// Table keeps the spells that have not ended, by key.
+// Table holds the current episodes by key. It is not safe for concurrent use.
 type Table[K comparable] struct {
-	config Config
-	spells map[K]*spell
+	config   Config
+	episodes map[K]*episode
 }
 
-type spell struct {
-	since, last time.Time
-	count       int
+type episode struct {
+	started, lastMark time.Time
+	count             int
 }
 
-// New returns a table without spells.
+// New returns a table without episodes.
 func New[K comparable](c Config) *Table[K] {
-	return &Table[K]{config: c, spells: map[K]*spell{}}
+	return &Table[K]{config: c, episodes: map[K]*episode{}}
 }
 
-// Mark notes that it happened now.
+// Mark records an event, which begins an episode or extends the current one.
 func (t *Table[K]) Mark(now time.Time, k K) {
-	s, ok := t.spells[k]
+	e, ok := t.episodes[k]
 	if !ok {
-		if len(t.spells) >= t.config.Most {
+		if len(t.episodes) >= t.config.Most {
 			t.sweep(now)
 		}
-		if len(t.spells) >= t.config.Most {
+		if len(t.episodes) >= t.config.Most {
 			return
 		}
-		s = &spell{since: now}
-		t.spells[k] = s
+		e = &episode{started: now}
+		t.episodes[k] = e
 	}
-	if ok && now.Sub(s.last) > t.config.Gap {
-		s.since, s.count = now, 0
+	if ok && now.Sub(e.lastMark) > t.config.Gap {
+		e.started, e.count = now, 0
 	}
-	s.last = now
-	s.count++
+	e.lastMark = now
+	e.count++
 }
 
-// Each calls a function for each spell that has not ended, with its beginning and the number of marks.
+// Each calls f for each current episode with the time of its first event and the number of events.
 func (t *Table[K]) Each(now time.Time, f func(k K, since time.Time, count int)) {
 	t.sweep(now)
-	for k, s := range t.spells {
-		f(k, s.since, s.count)
+	for k, e := range t.episodes {
+		f(k, e.started, e.count)
 	}
 }
 
+// sweep removes the episodes that have ended.
 func (t *Table[K]) sweep(now time.Time) {
-	for k, s := range t.spells {
-		if now.Sub(s.last) > t.config.Gap {
-			delete(t.spells, k)
+	for k, e := range t.episodes {
+		if now.Sub(e.lastMark) > t.config.Gap {
+			delete(t.episodes, k)
 		}
 	}
 }
--- a/internal/policy/spell/spell_test.go
+++ b/internal/policy/spell/spell_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSpellsAsTheNaiveTwin compares the table with a search through all marks.
-func TestSpellsAsTheNaiveTwin(t *testing.T) {
+// TestEpisodesMatchReferenceModel compares the table with a search through all events.
+func TestEpisodesMatchReferenceModel(t *testing.T) {
 	const gap = time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		table, now := New[int](Config{Gap: gap, Most: 10}), time.Unix(0, 0)
--- a/internal/policy/spread/doc.go
+++ b/internal/policy/spread/doc.go
@@ -1,2 +1,2 @@
-// Package spread divides the requests of a route among its services by weight.
+// Package spread distributes the requests of a route between its services in proportion to their weights.
 package spread
--- a/internal/policy/spread/spread.go
+++ b/internal/policy/spread/spread.go
@@ -2,40 +2,41 @@
 
 import "github.com/figpier/figpier"
 
-// Table keeps how far each service of a route is ahead of its share.
+// Table holds the state of a smooth weighted round-robin for each route. It is not safe for concurrent use.
 type Table struct {
-	credits map[part]float64
+	// currentWeights holds how far each service is behind its share, in units of weight; the largest is selected next.
+	currentWeights map[routeService]float64
 }
 
-type part struct {
+type routeService struct {
 	route   string
 	service figpier.UpstreamService
 }
 
-// New returns a table that has divided nothing.
-func New() *Table { return &Table{credits: map[part]float64{}} }
+// New returns a table without routes.
+func New() *Table { return &Table{currentWeights: map[routeService]float64{}} }
 
-// Next returns the service that takes the next request of a route, false where no service has a weight.
+// Next selects the service for the next request of a route. It returns false if no service has a positive weight.
 //
-// This is smooth weighted round-robin: in any run of requests each service is within one request of its share.
+// After any number of requests, each service has received its share to within one request.
 func (t *Table) Next(r *figpier.HostRoute) (figpier.UpstreamService, bool) {
 	total := 0.0
-	var best part
+	var best routeService
 	found := false
 	for _, p := range r.Parts() {
 		if p.Weight() <= 0 {
 			continue
 		}
-		key := part{route: r.Name(), service: p.Service()}
-		t.credits[key] += p.Weight()
+		key := routeService{route: r.Name(), service: p.Service()}
+		t.currentWeights[key] += p.Weight()
 		total += p.Weight()
-		if !found || t.credits[key] > t.credits[best] {
+		if !found || t.currentWeights[key] > t.currentWeights[best] {
 			best, found = key, true
 		}
 	}
 	if !found {
 		return "", false
 	}
-	t.credits[best] -= total
+	t.currentWeights[best] -= total
 	return best.service, true
 }
--- a/internal/policy/spread/spread_test.go
+++ b/internal/policy/spread/spread_test.go
@@ -17,7 +17,7 @@
 	return figpier.NewHostRoute(c)
 }
 
-func TestEachServiceIsWithinOneRequestOfItsShare(t *testing.T) {
+func TestServicesStayWithinOneRequestOfShare(t *testing.T) {
 	weights := []float64{90, 10, 0, 33.5}
 	table, r := New(), route(weights...)
 	counts := map[figpier.UpstreamService]float64{}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestNoWeightTakesNothing(t *testing.T) {
+func TestNextFailsWithoutPositiveWeight(t *testing.T) {
 	_, ok := New().Next(route(0, 0))
 	assert.Assert(t, !ok)
 }
