--- a/configuration.go
+++ b/configuration.go
@@ -74,7 +74,7 @@
 	Assignments map[UpstreamService]*Assignment
 	// Keys holds the customer keys by digest.
 	Keys map[KeyDigest]*Key
-	// Table is the routing table, nil where operators have set none.
+	// Table is the routing table, nil when none has been set.
 	Table *Table
 }
 
@@ -98,7 +98,7 @@
 // Keys returns the keys by digest, which the caller must not change.
 func (c *Configuration) Keys() map[KeyDigest]*Key { return c.config.Keys }
 
-// Table returns the routing table, nil where operators have set none.
+// Table returns the routing table, nil when none has been set.
 func (c *Configuration) Table() *Table { return c.config.Table }
 
 // ProfileOf returns the profile assigned to a service, false when it has none.
--- a/internal/kernel/registry/kernel.go
+++ b/internal/kernel/registry/kernel.go
@@ -74,24 +74,24 @@
 // Run starts all services, waits until the stop context ends or Fail is called, and stops the services in reverse order.
 // newGrace returns the context that bounds the calls of Stop. The context given to Start ends after them.
 func (k *Kernel) Run(stop context.Context, newGrace func() (context.Context, context.CancelFunc)) error {
-	work, cancel := context.WithCancel(context.WithoutCancel(stop))
+	serviceCtx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	done := make(chan struct{})
+	controlDone := make(chan struct{})
 	go func() {
-		defer close(done)
-		k.control.run(work)
+		defer close(controlDone)
+		k.control.run(serviceCtx)
 	}()
 
-	started, err := k.startServices(work)
+	started, err := k.startServices(serviceCtx)
 	if err == nil {
 		err = k.waitForStop(stop)
 	}
 
-	grace, end := newGrace()
-	defer end()
-	err = errors.Join(err, k.stopServices(grace, started))
+	graceCtx, cancelGrace := newGrace()
+	defer cancelGrace()
+	err = errors.Join(err, k.stopServices(graceCtx, started))
 	cancel()
-	<-done
+	<-controlDone
 	return err
 }
 
--- a/internal/policy/cutoff/cutoff.go
+++ b/internal/policy/cutoff/cutoff.go
@@ -75,7 +75,7 @@
 	lastSweep time.Time
 }
 
-// recentAnswers are the cut-offs that the newest recentAnswers of a route brought back.
+// recentAnswers is a ring buffer of the cut-offs that the most recent answers of a route reported.
 type recentAnswers struct {
 	cutOffs [answersPerRoute]Reported
 	next    int
--- a/internal/policy/rank/rank.go
+++ b/internal/policy/rank/rank.go
@@ -180,8 +180,8 @@
 }
 
 // levelOf returns the logarithmic level of a weighted demand, within the range of the bit field.
-func levelOf(work float64) uint32 {
-	l := (math.Log2(work) - lowestOctave) * levelsPerOctave
+func levelOf(weightedDemand float64) uint32 {
+	l := (math.Log2(weightedDemand) - lowestOctave) * levelsPerOctave
 	return uint32(min(max(l, 0), maxLevel))
 }
 
--- a/internal/policy/retry/pacer.go
+++ b/internal/policy/retry/pacer.go
@@ -46,9 +46,9 @@
 		return
 	}
 	p.lastSweep = now
-	for name, last := range p.lastAttempts {
+	for key, last := range p.lastAttempts {
 		if now.Sub(last) >= interval {
-			delete(p.lastAttempts, name)
+			delete(p.lastAttempts, key)
 		}
 	}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -13,10 +13,10 @@
 
 // callTree simulates the hops of one request and counts their retries and lost budgets.
 type callTree struct {
-	t         *rapid.T
-	extra     int
-	forfeited int
-	ended     int
+	t       *rapid.T
+	retries int
+	lost    int
+	ended   int
 }
 
 // runHop runs one hop with random children, failures and lost answers, and returns its unused budget.
@@ -32,17 +32,17 @@
 func (r *callTree) runExit(depth int, b *Budget) {
 	for {
 		portion := b.Take(b.Portion())
-		home := r.runHop(depth, NewBudget(portion))
+		unused := r.runHop(depth, NewBudget(portion))
 		if rapid.IntRange(0, 3).Draw(r.t, "lost") == 0 {
-			r.forfeited += home
-			home = 0
+			r.lost += unused
+			unused = 0
 		}
-		b.Return(min(home, portion))
+		b.Return(min(unused, portion))
 		if rapid.Bool().Draw(r.t, "ended") || b.Take(1) == 0 {
 			r.ended++
 			return
 		}
-		r.extra++
+		r.retries++
 	}
 }
 
@@ -51,8 +51,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		given := rapid.IntRange(0, 12).Draw(t, "budget")
 		r := &callTree{t: t}
-		home := r.runHop(0, NewBudget(given))
-		assert.Equal(t, r.extra+r.forfeited+home, given)
+		unused := r.runHop(0, NewBudget(given))
+		assert.Equal(t, r.retries+r.lost+unused, given)
 	})
 }
 
--- a/internal/policy/routing/routing_test.go
+++ b/internal/policy/routing/routing_test.go
@@ -29,43 +29,42 @@
 	ejectedUntil time.Time
 }
 
-func (w *modelMember) available(now time.Time, tried []figpier.InstanceID) bool {
+func (m *modelMember) available(now time.Time, tried []figpier.InstanceID) bool {
 	for _, id := range tried {
-		if id == w.member.Instance() {
+		if id == m.member.Instance() {
 			return false
 		}
 	}
-	return !w.member.Draining() && !now.Before(w.ejectedUntil)
+	return !m.member.Draining() && !now.Before(m.ejectedUntil)
 }
 
-// modelCandidates returns the members that may be picked, by a search through free members before full ones and near places before
-// far ones.
-func modelCandidates(all []*modelMember, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (best []*modelMember, verdict Verdict) {
+// modelCandidates returns the members that may be picked: free ones before full ones and, of these, near ones before far ones.
+func modelCandidates(all []*modelMember, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (candidates []*modelMember, verdict Verdict) {
 	verdict = Nobody
 	for _, free := range []bool{true, false} {
 		for place := range places {
-			for _, w := range all {
-				if w.place != place || !w.available(now, tried) {
+			for _, candidate := range all {
+				if candidate.place != place || !candidate.available(now, tried) {
 					continue
 				}
 				if verdict == Nobody {
 					verdict = Refused
 				}
-				if r < w.cutOff && (!free || w.inFlight < w.member.Slots()) {
-					best = append(best, w)
+				if r < candidate.cutOff && (!free || candidate.inFlight < candidate.member.Slots()) {
+					candidates = append(candidates, candidate)
 				}
 			}
-			if len(best) > 0 {
-				return best, Picked
+			if len(candidates) > 0 {
+				return candidates, Picked
 			}
 		}
 	}
 	return nil, verdict
 }
 
-func (w *modelMember) load() float64 {
-	load := float64(w.inFlight+1) / float64(w.member.Slots())
-	if w.cutOff != figpier.MaxRank {
+func (m *modelMember) load() float64 {
+	load := float64(m.inFlight+1) / float64(m.member.Slots())
+	if m.cutOff != figpier.MaxRank {
 		load++
 	}
 	return load
@@ -110,54 +109,54 @@
 			if verdict != Picked {
 				continue
 			}
-			w := findMember(best, m)
-			assert.Assert(t, w != nil, "%s may not be picked", m.Instance())
-			assert.Assert(t, len(best) == 1 || !hasGreatestLoad(best, w), "%s has the greatest load", m.Instance())
+			model := findMember(best, m)
+			assert.Assert(t, model != nil, "%s may not be picked", m.Instance())
+			assert.Assert(t, len(best) == 1 || !hasGreatestLoad(best, model), "%s has the greatest load", m.Instance())
 			table.Begin(m)
-			w.inFlight++
+			model.inFlight++
 		}
 	})
 }
 
 // endCall ends a call at a random member that has one, in the table and in the model.
 func endCall(t *rapid.T, table *Table, all []*modelMember, members []*figpier.Member, now time.Time) {
-	w := rapid.SampledFrom(all).Draw(t, "member")
-	if w.inFlight == 0 {
+	model := rapid.SampledFrom(all).Draw(t, "member")
+	if model.inFlight == 0 {
 		return
 	}
-	w.inFlight--
+	model.inFlight--
 	if rapid.IntRange(0, 2).Draw(t, "failed") == 0 {
-		table.End(now, w.member, members, figpier.OutcomeFailed, figpier.MaxRank)
-		w.failures++
+		table.End(now, model.member, members, figpier.OutcomeFailed, figpier.MaxRank)
+		model.failures++
 		out := 0
 		for _, o := range all {
 			if now.Before(o.ejectedUntil) {
 				out++
 			}
 		}
-		if w.failures >= 3 && !now.Before(w.ejectedUntil) && len(all) > 1 && out < max(1, len(all)/3) {
-			w.failures, w.ejectedUntil = 0, now.Add(time.Second)
+		if model.failures >= 3 && !now.Before(model.ejectedUntil) && len(all) > 1 && out < max(1, len(all)/3) {
+			model.failures, model.ejectedUntil = 0, now.Add(time.Second)
 		}
 		return
 	}
-	w.cutOff = rapid.SampledFrom([]figpier.Rank{3, 6, figpier.MaxRank}).Draw(t, "cutOff")
-	w.failures = 0
-	table.End(now, w.member, members, figpier.OutcomeDone, w.cutOff)
+	model.cutOff = rapid.SampledFrom([]figpier.Rank{3, 6, figpier.MaxRank}).Draw(t, "cutOff")
+	model.failures = 0
+	table.End(now, model.member, members, figpier.OutcomeDone, model.cutOff)
 }
 
 func findMember(all []*modelMember, m *figpier.Member) *modelMember {
-	for _, w := range all {
-		if w.member == m {
-			return w
+	for _, candidate := range all {
+		if candidate.member == m {
+			return candidate
 		}
 	}
 	return nil
 }
 
 // hasGreatestLoad reports whether a member has a greater load than each of the others.
-func hasGreatestLoad(all []*modelMember, w *modelMember) bool {
+func hasGreatestLoad(all []*modelMember, candidate *modelMember) bool {
 	for _, o := range all {
-		if o != w && o.load() >= w.load() {
+		if o != candidate && o.load() >= candidate.load() {
 			return false
 		}
 	}
--- a/refusal.go
+++ b/refusal.go
@@ -109,7 +109,7 @@
 type RefusalConfig struct {
 	// Reason is the reason for the refusal.
 	Reason RefusalReason
-	// RanSomewhere clears the "not run" mark that the reason would set. It goes before ProvenNotRun.
+	// RanSomewhere clears the "not run" mark that the reason would set. It takes precedence over ProvenNotRun.
 	RanSomewhere bool
 	// ProvenNotRun sets the "not run" mark that the reason alone would not.
 	ProvenNotRun bool
