--- a/internal/policy/routing/routing_test.go
+++ b/internal/policy/routing/routing_test.go
@@ -19,58 +19,58 @@
 	region     figpier.Region
 }{{"dc1", "north"}, {"dc2", "north"}, {"dc3", "south"}}
 
-// world is what the naive twin knows of one member.
-type world struct {
-	member   *figpier.Member
-	place    int
-	inFlight int
-	cutOff   figpier.Rank
-	failures int
-	until    time.Time
+// modelMember is the state of one member in the reference model.
+type modelMember struct {
+	member       *figpier.Member
+	place        int
+	inFlight     int
+	cutOff       figpier.Rank
+	failures     int
+	ejectedUntil time.Time
 }
 
-func (w *world) takesWork(now time.Time, tried []figpier.InstanceID) bool {
+func (m *modelMember) available(now time.Time, tried []figpier.InstanceID) bool {
 	for _, id := range tried {
-		if id == w.member.Instance() {
+		if id == m.member.Instance() {
 			return false
 		}
 	}
-	return !w.member.Draining() && !now.Before(w.until)
+	return !m.member.Draining() && !now.Before(m.ejectedUntil)
 }
 
-// admissible returns the best class of members by going through the places and their members one by one.
-func admissible(all []*world, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (best []*world, verdict Verdict) {
+// modelCandidates returns the members that may be picked: free ones before full ones and, of these, near ones before far ones.
+func modelCandidates(all []*modelMember, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (candidates []*modelMember, verdict Verdict) {
 	verdict = Nobody
 	for _, free := range []bool{true, false} {
 		for place := range places {
-			for _, w := range all {
-				if w.place != place || !w.takesWork(now, tried) {
+			for _, candidate := range all {
+				if candidate.place != place || !candidate.available(now, tried) {
 					continue
 				}
 				if verdict == Nobody {
 					verdict = Refused
 				}
-				if r < w.cutOff && (!free || w.inFlight < w.member.Slots()) {
-					best = append(best, w)
+				if r < candidate.cutOff && (!free || candidate.inFlight < candidate.member.Slots()) {
+					candidates = append(candidates, candidate)
 				}
 			}
-			if len(best) > 0 {
-				return best, Picked
+			if len(candidates) > 0 {
+				return candidates, Picked
 			}
 		}
 	}
 	return nil, verdict
 }
 
-func (w *world) load() float64 {
-	load := float64(w.inFlight+1) / float64(w.member.Slots())
-	if w.cutOff != figpier.MaxRank {
+func (m *modelMember) load() float64 {
+	load := float64(m.inFlight+1) / float64(m.member.Slots())
+	if m.cutOff != figpier.MaxRank {
 		load++
 	}
 	return load
 }
 
-func drawWorlds(t *rapid.T) (all []*world, members []*figpier.Member) {
+func drawMembers(t *rapid.T) (all []*modelMember, members []*figpier.Member) {
 	for i := range rapid.IntRange(1, 8).Draw(t, "members") {
 		place := rapid.IntRange(0, len(places)-1).Draw(t, "place")
 		m := figpier.NewMember(figpier.MemberConfig{
@@ -81,21 +81,21 @@
 			Slots:      rapid.IntRange(1, 4).Draw(t, "slots"),
 			Draining:   rapid.IntRange(0, 4).Draw(t, "draining") == 0,
 		})
-		all = append(all, &world{member: m, place: place, cutOff: figpier.MaxRank})
+		all = append(all, &modelMember{member: m, place: place, cutOff: figpier.MaxRank})
 		members = append(members, m)
 	}
 	return all, members
 }
 
-func TestPicksAsTheNaiveTwin(t *testing.T) {
+func TestPickMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, members := drawWorlds(t)
+		all, members := drawMembers(t)
 		table := New(Config{DataCentre: "dc1", Region: "north", Seed: rapid.Uint64().Draw(t, "seed")})
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
 			if rapid.Bool().Draw(t, "end") {
-				end(t, table, all, members, now)
+				endCall(t, table, all, members, now)
 				continue
 			}
 			r := figpier.Rank(rapid.IntRange(0, 9).Draw(t, "rank"))
@@ -103,67 +103,67 @@
 			if rapid.Bool().Draw(t, "retry") {
 				tried = append(tried, members[0].Instance())
 			}
-			best, want := admissible(all, now, r, tried)
+			best, want := modelCandidates(all, now, r, tried)
 			m, verdict := table.Pick(now, service, members, r, tried)
 			assert.Equal(t, verdict, want)
 			if verdict != Picked {
 				continue
 			}
-			w := among(best, m)
-			assert.Assert(t, w != nil, "%s is not admissible", m.Instance())
-			assert.Assert(t, len(best) == 1 || !worst(best, w), "%s has the greatest load", m.Instance())
+			model := findMember(best, m)
+			assert.Assert(t, model != nil, "%s may not be picked", m.Instance())
+			assert.Assert(t, len(best) == 1 || !hasGreatestLoad(best, model), "%s has the greatest load", m.Instance())
 			table.Begin(m)
-			w.inFlight++
+			model.inFlight++
 		}
 	})
 }
 
-// end ends a call at a member, if it has one, and has the twin learn the same.
-func end(t *rapid.T, table *Table, all []*world, members []*figpier.Member, now time.Time) {
-	w := rapid.SampledFrom(all).Draw(t, "member")
-	if w.inFlight == 0 {
+// endCall ends a call at a random member that has one, in the table and in the model.
+func endCall(t *rapid.T, table *Table, all []*modelMember, members []*figpier.Member, now time.Time) {
+	model := rapid.SampledFrom(all).Draw(t, "member")
+	if model.inFlight == 0 {
 		return
 	}
-	w.inFlight--
+	model.inFlight--
 	if rapid.IntRange(0, 2).Draw(t, "failed") == 0 {
-		table.End(now, w.member, members, figpier.OutcomeFailed, figpier.MaxRank)
-		w.failures++
+		table.End(now, model.member, members, figpier.OutcomeFailed, figpier.MaxRank)
+		model.failures++
 		out := 0
 		for _, o := range all {
-			if now.Before(o.until) {
+			if now.Before(o.ejectedUntil) {
 				out++
 			}
 		}
-		if w.failures >= 3 && !now.Before(w.until) && len(all) > 1 && out < max(1, len(all)/3) {
-			w.failures, w.until = 0, now.Add(time.Second)
+		if model.failures >= 3 && !now.Before(model.ejectedUntil) && len(all) > 1 && out < max(1, len(all)/3) {
+			model.failures, model.ejectedUntil = 0, now.Add(time.Second)
 		}
 		return
 	}
-	w.cutOff = rapid.SampledFrom([]figpier.Rank{3, 6, figpier.MaxRank}).Draw(t, "cutOff")
-	w.failures = 0
-	table.End(now, w.member, members, figpier.OutcomeDone, w.cutOff)
+	model.cutOff = rapid.SampledFrom([]figpier.Rank{3, 6, figpier.MaxRank}).Draw(t, "cutOff")
+	model.failures = 0
+	table.End(now, model.member, members, figpier.OutcomeDone, model.cutOff)
 }
 
-func among(all []*world, m *figpier.Member) *world {
-	for _, w := range all {
-		if w.member == m {
-			return w
+func findMember(all []*modelMember, m *figpier.Member) *modelMember {
+	for _, candidate := range all {
+		if candidate.member == m {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// worst reports whether a member has more load than each of the others.
-func worst(all []*world, w *world) bool {
+// hasGreatestLoad reports whether a member has a greater load than each of the others.
+func hasGreatestLoad(all []*modelMember, candidate *modelMember) bool {
 	for _, o := range all {
-		if o != w && o.load() >= w.load() {
+		if o != candidate && o.load() >= candidate.load() {
 			return false
 		}
 	}
 	return true
 }
 
-func TestEjectionGrowsAndEnds(t *testing.T) {
+func TestEjectionTimeDoublesAndEnds(t *testing.T) {
 	members := []*figpier.Member{
 		figpier.NewMember(figpier.MemberConfig{Instance: "a", Slots: 4}),
 		figpier.NewMember(figpier.MemberConfig{Instance: "b", Slots: 4}),
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestMemberThatComesBackStartsSlowly counts how the calls spread after a member drained and came back.
-func TestMemberThatComesBackStartsSlowly(t *testing.T) {
+// TestReturningMemberStartsSlowly counts the calls per member before and after one of them drains and returns.
+func TestReturningMemberStartsSlowly(t *testing.T) {
 	member := func(id figpier.InstanceID, draining bool) *figpier.Member {
 		return figpier.NewMember(figpier.MemberConfig{Instance: id, Slots: 40, Draining: draining})
 	}
@@ -215,11 +215,11 @@
 	assert.Equal(t, spread([]*figpier.Member{both[0], member("b", true)})["b"], 0)
 	slow := spread(both)["b"]
 	assert.Assert(t, slow > 0 && slow < 5, "%d of 20", slow)
-	now = now.Add(slowStart)
+	now = now.Add(slowStartDuration)
 	assert.Equal(t, spread(both)["b"], 10)
 }
 
-func TestExpiryEjectsOnlyAMemberThatIsSilentAlone(t *testing.T) {
+func TestExpiryEjectsOnlySoleSilentMember(t *testing.T) {
 	a := figpier.NewMember(figpier.MemberConfig{Instance: "a", Slots: 4})
 	b := figpier.NewMember(figpier.MemberConfig{Instance: "b", Slots: 4})
 	members, start := []*figpier.Member{a, b}, time.Unix(0, 0)
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestEjectionHasACeiling(t *testing.T) {
+func TestEjectedFractionIsLimited(t *testing.T) {
 	for n, ceiling := range map[int]int{1: 0, 2: 1, 3: 1, 6: 2, 9: 3} {
 		table, now := New(Config{}), time.Unix(0, 0)
 		var members []*figpier.Member
