--- a/internal/policy/replica/cluster_test.go
+++ b/internal/policy/replica/cluster_test.go
@@ -15,10 +15,10 @@
 	testElection  = 800 * time.Millisecond
 )
 
-// fatalf is what a test and a rapid check have in common.
-type fatalf func(format string, args ...any)
+// fatalFunc fails a test: the Fatalf method of a testing.T or a rapid.T.
+type fatalFunc func(format string, args ...any)
 
-// disk holds what one member made durable.
+// disk holds what one member has made durable. It survives a restart of the member.
 type disk struct {
 	state    HardState
 	snapshot *Snapshot
@@ -42,67 +42,69 @@
 	}
 }
 
-// node is one member with its disk and its state machine, a plain list of commands.
+// node is one member with its disk and its state machine, which is a list of commands. The effects in pending are not
+// yet durable.
 type node struct {
 	id      MemberID
 	machine *Machine
 	disk    *disk
-	queue   []*Effects
+	pending []*Effects
 	applied []string
 }
 
-// cluster runs members over a network that the test controls.
+// cluster runs members over a simulated network and checks their committed entries against each other. The map
+// committed holds the first committed entry seen at each index, and isolated is a member without network, if any.
 type cluster struct {
-	fail     fatalf
-	random   *rand.Rand
-	now      time.Time
-	nodes    []*node
-	wire     []*Message
-	chosen   map[uint64]EntryConfig
-	top      uint64
-	members  *Members
-	leaders  map[uint64]MemberID
-	cut      MemberID
-	next     int
-	proposed int
+	fatalf        fatalFunc
+	random        *rand.Rand
+	now           time.Time
+	nodes         []*node
+	inFlight      []*Message
+	committed     map[uint64]EntryConfig
+	lastCommitted uint64
+	members       *Members
+	leaders       map[uint64]MemberID
+	isolated      MemberID
+	incarnations  int
+	proposed      int
 }
 
-func newCluster(fail fatalf, seed uint64) *cluster {
+func newCluster(fail fatalFunc, seed uint64) *cluster {
 	c := &cluster{
-		fail:    fail,
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		now:     time.Unix(1000, 0),
-		chosen:  map[uint64]EntryConfig{},
-		leaders: map[uint64]MemberID{},
+		fatalf:    fail,
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		now:       time.Unix(1000, 0),
+		committed: map[uint64]EntryConfig{},
+		leaders:   map[uint64]MemberID{},
 	}
 	var founders []Member
 	for i := range 3 {
-		n := c.blank(i)
+		n := c.newNode(i)
 		c.nodes = append(c.nodes, n)
 		founders = append(founders, NewMember(MemberConfig{ID: n.id, Address: string(n.id), Voter: true}))
 	}
 	c.members = NewMembers(founders...)
-	c.top = 1
+	c.lastCommitted = 1
 	c.nodes[0].machine.Found(c.now, "log", c.members, nil)
-	c.take(c.nodes[0])
-	for len(c.nodes[0].queue) > 0 {
-		c.flush(c.nodes[0])
+	c.collect(c.nodes[0])
+	for len(c.nodes[0].pending) > 0 {
+		c.writeNext(c.nodes[0])
 	}
 	return c
 }
 
-// blank returns a member with an empty disk under a new identity.
-func (c *cluster) blank(i int) *node {
-	c.next++
-	id := NewMemberID(figpier.InstanceID(fmt.Sprintf("c%d", i)), fmt.Sprint(c.next))
+// newNode returns a member with an empty disk and a new incarnation of the instance with the given number.
+func (c *cluster) newNode(i int) *node {
+	c.incarnations++
+	id := NewMemberID(figpier.InstanceID(fmt.Sprintf("c%d", i)), fmt.Sprint(c.incarnations))
 	n := &node{id: id, disk: &disk{}}
-	c.open(n)
+	c.start(n)
 	return n
 }
 
-// open starts a member from its disk.
-func (c *cluster) open(n *node) {
-	n.queue = nil
+// start starts or restarts a member from its disk. Effects that are not durable are lost.
+func (c *cluster) start(n *node) {
+	n.pending = nil
 	n.applied = nil
 	n.machine = New(Config{
 		Self: n.id, Address: string(n.id),
@@ -111,109 +113,112 @@
 		Random: c.random, Now: c.now,
 		State: n.disk.state, Snapshot: n.disk.snapshot, Entries: slices.Clone(n.disk.entries),
 	})
-	c.take(n)
+	c.collect(n)
 }
 
-// take queues the writes of a member and applies what it committed.
-func (c *cluster) take(n *node) {
+// collect takes the effects of a member, queues them, applies the committed entries and checks that each term has at
+// most one leader.
+func (c *cluster) collect(n *node) {
 	e := n.machine.Take()
-	n.queue = append(n.queue, e)
+	n.pending = append(n.pending, e)
 	if s := e.Restore(); s != nil {
 		n.applied = strings.Fields(string(s.Data()))
-		c.compare(n, s.Index())
+		c.checkApplied(n, s.Index())
 	}
 	for _, o := range e.Committed() {
-		c.choose(n, o)
+		c.checkCommitted(n, o)
 	}
 	if !n.machine.Leading() {
 		return
 	}
 	if other, ok := c.leaders[n.machine.Term()]; ok && other != n.id {
-		c.fail("%s and %s lead term %d", other, n.id, n.machine.Term())
+		c.fatalf("%s and %s lead term %d", other, n.id, n.machine.Term())
 	}
 	c.leaders[n.machine.Term()] = n.id
 }
 
-// choose holds a committed entry against what was committed before at its index.
-func (c *cluster) choose(n *node, e *Entry) {
+// checkCommitted applies a committed entry and fails if another entry was committed at its index before.
+func (c *cluster) checkCommitted(n *node, e *Entry) {
 	if e.Kind() == EntryCommand {
 		n.applied = append(n.applied, string(e.Command()))
 	}
-	was, ok := c.chosen[e.Index()]
-	if ok && (was.Term != e.Term() || was.Proposal != e.Proposal()) {
-		c.fail("%s committed entry %d of term %d over term %d", n.id, e.Index(), e.Term(), was.Term)
+	earlier, ok := c.committed[e.Index()]
+	if ok && (earlier.Term != e.Term() || earlier.Proposal != e.Proposal()) {
+		c.fatalf("%s committed entry %d of term %d, but that of term %d was committed before", n.id, e.Index(), e.Term(), earlier.Term)
 	}
-	c.chosen[e.Index()] = e.Config()
-	if e.Index() > c.top {
-		c.top = e.Index()
+	c.committed[e.Index()] = e.Config()
+	if e.Index() > c.lastCommitted {
+		c.lastCommitted = e.Index()
 		if e.Members() != nil {
 			c.members = e.Members()
 		}
 	}
-	c.compare(n, e.Index())
+	c.checkApplied(n, e.Index())
 }
 
-// compare holds a member's state against the plain list of all committed commands up to an index.
-func (c *cluster) compare(n *node, upTo uint64) {
+// checkApplied fails if a member's state differs from the list of all committed commands up to an index.
+func (c *cluster) checkApplied(n *node, upTo uint64) {
 	var want []string
 	for i := uint64(2); i <= upTo; i++ {
-		e, ok := c.chosen[i]
+		e, ok := c.committed[i]
 		if !ok {
-			c.fail("%s holds a state of entry %d, but entry %d was never committed", n.id, upTo, i)
+			c.fatalf("%s has applied entry %d, but entry %d was never committed", n.id, upTo, i)
 		}
 		if e.Kind == EntryCommand {
 			want = append(want, string(e.Command))
 		}
 	}
 	if !slices.Equal(n.applied, want) {
-		c.fail("%s has %v after entry %d, want %v", n.id, n.applied, upTo, want)
+		c.fatalf("%s has %v after entry %d, want %v", n.id, n.applied, upTo, want)
 	}
 }
 
-// flush makes the oldest queued writes durable and sends their messages.
-func (c *cluster) flush(n *node) {
-	if len(n.queue) == 0 {
+// writeNext makes the oldest pending effects of a member durable and sends their messages.
+func (c *cluster) writeNext(n *node) {
+	if len(n.pending) == 0 {
 		return
 	}
-	e := n.queue[0]
-	n.queue = n.queue[1:]
+	e := n.pending[0]
+	n.pending = n.pending[1:]
 	n.disk.write(e)
-	c.wire = append(c.wire, e.Messages()...)
+	c.inFlight = append(c.inFlight, e.Messages()...)
 	if e.Writes() {
 		n.machine.Durable(c.now, e)
-		c.take(n)
+		c.collect(n)
 	}
 }
 
+// deliver delivers a message in flight, and keeps it for a second delivery if keep is set.
 func (c *cluster) deliver(i int, keep bool) {
-	m := c.wire[i]
+	m := c.inFlight[i]
 	if !keep {
-		c.wire = slices.Delete(c.wire, i, i+1)
+		c.inFlight = slices.Delete(c.inFlight, i, i+1)
 	}
-	if c.cut != "" && (c.cut == m.To() || c.cut == m.From()) {
+	if c.isolated != "" && (c.isolated == m.To() || c.isolated == m.From()) {
 		return
 	}
 	for _, n := range c.nodes {
 		if n.id.Instance() == m.To().Instance() {
 			n.machine.Receive(c.now, m)
-			c.take(n)
+			c.collect(n)
 		}
 	}
 }
 
-func (c *cluster) pass(d time.Duration) {
+// advanceTime moves the clock forward and calls Tick on the members for which it is due.
+func (c *cluster) advanceTime(d time.Duration) {
 	c.now = c.now.Add(d)
 	for _, n := range c.nodes {
 		if !c.now.Before(n.machine.NextTick()) {
 			n.machine.Tick(c.now)
-			c.take(n)
+			c.collect(n)
 		}
 	}
-	c.joinLost()
+	c.joinNewMembers()
 }
 
-// joinLost has members with a new identity ask the leader to take them in.
-func (c *cluster) joinLost() {
+// joinNewMembers lets each node that is not in the membership ask the leader to join.
+func (c *cluster) joinNewMembers() {
 	for _, n := range c.nodes {
 		if _, in := c.members.Find(n.id); in {
 			continue
@@ -221,7 +226,7 @@
 		for _, l := range c.nodes {
 			if l.machine.Leading() {
 				_ = l.machine.Join(c.now, NewMember(MemberConfig{ID: n.id, Address: string(n.id)}))
-				c.take(l)
+				c.collect(l)
 			}
 		}
 	}
@@ -231,51 +236,53 @@
 	c.proposed++
 	name := fmt.Sprintf("p%d", c.proposed)
 	if n.machine.Propose(c.now, name, []byte(name)) == nil {
-		c.take(n)
+		c.collect(n)
 	}
 }
 
-// mayLose reports whether the founding is done and every voter is a member that runs, so that the loss of one disk must lose nothing.
-func (c *cluster) mayLose() bool {
+// toleratesDiskLoss reports whether every node is a voter in a membership that all nodes know, and an entry has been
+// committed since the log was created. The loss of one disk must then lose no committed entry.
+func (c *cluster) toleratesDiskLoss() bool {
 	for _, n := range c.nodes {
 		if !c.members.IsVoter(n.id) || !slices.Equal(n.machine.Members().List(), c.members.List()) {
 			return false
 		}
 	}
-	return c.top > 1 && len(c.members.List()) == len(c.nodes)
+	return c.lastCommitted > 1 && len(c.members.List()) == len(c.nodes)
 }
 
-// settle runs the cluster without faults until all members have the same committed entries.
+// settle runs the cluster without faults until it is settled, and fails if that takes too long.
 func (c *cluster) settle() {
-	c.cut = ""
+	c.isolated = ""
 	for range 400 {
 		for _, n := range c.nodes {
-			for len(n.queue) > 0 {
-				c.flush(n)
+			for len(n.pending) > 0 {
+				c.writeNext(n)
 			}
 		}
-		for len(c.wire) > 0 {
+		for len(c.inFlight) > 0 {
 			c.deliver(0, false)
 			for _, n := range c.nodes {
-				c.flush(n)
+				c.writeNext(n)
 			}
 		}
 		if c.settled() {
 			return
 		}
-		c.pass(50 * time.Millisecond)
+		c.advanceTime(50 * time.Millisecond)
 	}
-	report := ""
+	states := ""
 	for _, n := range c.nodes {
 		m := n.machine
-		report += fmt.Sprintf("\n%s term %d commit %d last %d leader %s members %v", n.id, m.Term(), m.Commit(), m.log.last(), m.leader, m.Members().list)
+		states += fmt.Sprintf("\n%s term %d commit %d last %d leader %s members %v", n.id, m.Term(), m.Commit(), m.log.lastIndex(), m.leader, m.Members().list)
 	}
-	c.fail("not settled, %d committed:%s", c.top, report)
+	c.fatalf("the cluster has not settled, %d entries are committed:%s", c.lastCommitted, states)
 }
 
+// settled reports whether every node is a voter, knows a leader and has all committed entries.
 func (c *cluster) settled() bool {
 	for _, n := range c.nodes {
-		if n.machine.Commit() < c.top || n.machine.Leader() == "" || !c.mayLose() {
+		if n.machine.Commit() < c.lastCommitted || n.machine.Leader() == "" || !c.toleratesDiskLoss() {
 			return false
 		}
 	}
--- a/internal/policy/replica/effects.go
+++ b/internal/policy/replica/effects.go
@@ -1,6 +1,7 @@
 package replica
 
-// Effects are what a member wants done, in this order: writes, then messages; applying needs no write.
+// Effects lists what the caller has to do for a member. Messages are sent only after the writes of these and of all
+// earlier effects are durable; committed entries may be applied at once.
 type Effects struct {
 	state     *HardState
 	entries   []*Entry
@@ -11,33 +12,33 @@
 	committed []*Entry
 }
 
-// State returns the hard state to make durable before any message is sent, nil when unchanged.
+// State returns the hard state to make durable, or nil if it is unchanged.
 func (e *Effects) State() *HardState { return e.state }
 
-// Entries returns the entries to make durable; an entry replaces all from its index on.
+// Entries returns the entries to append to the durable log. An entry replaces the stored entries at its index and after.
 func (e *Effects) Entries() []*Entry { return e.entries }
 
-// Snapshot returns the snapshot to make durable in place of the log, nil for none.
+// Snapshot returns the snapshot that replaces the durable log, followed by the entries of Retained, or nil.
 func (e *Effects) Snapshot() *Snapshot { return e.snapshot }
 
-// Retained returns the entries that follow the snapshot to make durable.
+// Retained returns the entries after Snapshot that stay in the durable log.
 func (e *Effects) Retained() []*Entry { return e.retained }
 
-// Messages returns the messages to send after all earlier writes are durable.
+// Messages returns the messages to send once these and all earlier writes are durable.
 func (e *Effects) Messages() []*Message { return e.messages }
 
-// Restore returns the snapshot to restore the state machine from before applying, nil for none.
+// Restore returns the snapshot to load into the state machine before applying Committed, or nil.
 func (e *Effects) Restore() *Snapshot { return e.restore }
 
-// Committed returns the entries to apply to the state machine in order.
+// Committed returns the newly committed entries, to be applied to the state machine in this order.
 func (e *Effects) Committed() []*Entry { return e.committed }
 
-// Writes reports whether anything has to be made durable.
+// Writes reports whether the effects hold a state, entries or a snapshot to make durable.
 func (e *Effects) Writes() bool {
 	return e.state != nil || len(e.entries) > 0 || e.snapshot != nil
 }
 
-// Last returns the index and term of the last entry that the writes make durable, 0 when they hold none.
+// Last returns the index and term of the last entry that is durable after the writes, or zeros if they change no entry.
 func (e *Effects) Last() (index, term uint64) {
 	if n := len(e.entries); n > 0 {
 		return e.entries[n-1].Index(), e.entries[n-1].Term()
--- a/internal/policy/replica/election.go
+++ b/internal/policy/replica/election.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// becomeFollower takes over a term that is not lower than the member's.
+// becomeFollower makes the member a follower in the given term, which must not be lower than its own.
 func (m *Machine) becomeFollower(now time.Time, term uint64) {
 	if term > m.state.Term {
 		m.state.Term = term
 		m.state.Vote = ""
-		m.saveState()
+		m.queueStateWrite()
 		m.leader = ""
-		m.answers = nil
+		m.answerTimes = nil
 	}
 	if m.role == leader {
 		m.leader = ""
@@ -17,13 +17,14 @@
 	m.role = follower
 	m.votes = nil
 	m.followers = nil
-	m.joiners = nil
-	m.postpone(now)
+	m.pendingJoins = nil
+	m.resetElectionDeadline(now)
 }
 
-// preVote asks whether an election could be won, without touching the term.
-func (m *Machine) preVote(now time.Time) {
-	m.postpone(now)
+// startPreVote asks the other voters whether they would vote for this member. It leaves the term unchanged, so that a
+// member that returns after an outage does not depose the leader. A member that is no voter becomes a follower.
+func (m *Machine) startPreVote(now time.Time) {
+	m.resetElectionDeadline(now)
 	if !m.log.members.IsVoter(m.config.Self) {
 		m.role = follower
 		return
@@ -34,20 +35,22 @@
 	m.countVotes(now)
 }
 
-// campaign starts an election in a new term.
-func (m *Machine) campaign(now time.Time, force bool) {
+// startElection increments the term, votes for this member and asks the other voters for their votes. With force, they
+// answer even if they still have an active leader.
+func (m *Machine) startElection(now time.Time, force bool) {
 	m.role = candidate
 	m.leader = ""
-	m.answers = nil
+	m.answerTimes = nil
 	m.state.Term++
 	m.state.Vote = m.config.Self
-	m.saveState()
-	m.postpone(now)
+	m.queueStateWrite()
+	m.resetElectionDeadline(now)
 	m.votes = map[MemberID]bool{m.config.Self: true}
 	m.requestVotes(KindVote, m.state.Term, force)
 	m.countVotes(now)
 }
 
+// requestVotes sends a vote request or a pre-vote to all other voters.
 func (m *Machine) requestVotes(k MessageKind, term uint64, force bool) {
 	for _, e := range m.log.members.List() {
 		if !e.Voter() || e.ID() == m.config.Self {
@@ -58,14 +61,14 @@
 			To:        e.ID(),
 			Address:   e.Address(),
 			Term:      term,
-			Index:     m.log.last(),
+			Index:     m.log.lastIndex(),
 			IndexTerm: m.log.lastTerm(),
 			Force:     force,
 		})
 	}
 }
 
-// countVotes takes the next step of an election that has a majority.
+// countVotes starts the election after a majority of pre-votes, and makes the member leader after a majority of votes.
 func (m *Machine) countVotes(now time.Time) {
 	granted := 0
 	for _, id := range m.log.members.Voters() {
@@ -78,22 +81,25 @@
 	}
 	switch m.role {
 	case preCandidate:
-		m.campaign(now, false)
+		m.startElection(now, false)
 	case candidate:
 		m.becomeLeader(now)
 	}
 }
 
-// hearsLeader reports whether the member has a leader that it must stand by.
-func (m *Machine) hearsLeader(now time.Time) bool {
+// hasActiveLeader reports whether the member leads or has heard from its leader within the election timeout. Such a
+// member ignores vote requests that are not forced.
+func (m *Machine) hasActiveLeader(now time.Time) bool {
 	if m.role == leader {
 		return true
 	}
-	return m.leader != "" && now.Sub(m.heard) < m.config.Election
+	return m.leader != "" && now.Sub(m.leaderHeardAt) < m.config.Election
 }
 
-func (m *Machine) onVote(now time.Time, c MessageConfig) {
-	if !c.Force && m.hearsLeader(now) {
+// onVoteRequest answers a vote request or a pre-vote. The vote goes to a candidate whose log is at least as up to date as
+// this one; a pre-vote is granted on the same condition but changes no state.
+func (m *Machine) onVoteRequest(now time.Time, c MessageConfig) {
+	if !c.Force && m.hasActiveLeader(now) {
 		return
 	}
 	pre := c.Kind == KindPreVote
@@ -101,71 +107,73 @@
 		m.becomeFollower(now, c.Term)
 	}
 	answer := MessageConfig{Kind: KindVoteAnswer, Term: m.state.Term}
-	current := !m.log.newerThan(c.Index, c.IndexTerm)
+	upToDate := !m.log.isMoreUpToDate(c.Index, c.IndexTerm)
 	if pre {
 		answer.Kind = KindPreVoteAnswer
-		answer.Granted = current && c.Term > m.state.Term
+		answer.Granted = upToDate && c.Term > m.state.Term
 	} else {
-		free := m.state.Vote == "" || m.state.Vote == c.From
-		answer.Granted = current && free && c.Term == m.state.Term
+		canVote := m.state.Vote == "" || m.state.Vote == c.From
+		answer.Granted = upToDate && canVote && c.Term == m.state.Term
 	}
 	if answer.Granted && pre {
 		answer.Term = c.Term
 	}
 	if answer.Granted && !pre {
-		m.grant(now, c)
+		m.recordVote(now, c)
 	}
 	m.reply(c, answer)
 }
 
-// grant records a vote.
-func (m *Machine) grant(now time.Time, c MessageConfig) {
-	m.adopt(c)
+// recordVote stores the vote for the sender and restarts the election timeout.
+func (m *Machine) recordVote(now time.Time, c MessageConfig) {
+	m.adoptCluster(c)
 	m.role = follower
 	m.votes = nil
 	m.state.Vote = c.From
-	m.saveState()
-	m.postpone(now)
+	m.queueStateWrite()
+	m.resetElectionDeadline(now)
 }
 
+// onVoteAnswer counts a granted vote, or adopts the higher term that a refusal reports.
 func (m *Machine) onVoteAnswer(now time.Time, c MessageConfig) {
 	if c.Term > m.state.Term && !c.Granted {
 		m.becomeFollower(now, c.Term)
 		return
 	}
-	asked := m.role == candidate && c.Kind == KindVoteAnswer && c.Term == m.state.Term ||
+	expected := m.role == candidate && c.Kind == KindVoteAnswer && c.Term == m.state.Term ||
 		m.role == preCandidate && c.Kind == KindPreVoteAnswer && c.Term == m.state.Term+1
-	if !asked || !c.Granted {
+	if !expected || !c.Granted {
 		return
 	}
 	m.votes[c.From] = true
 	m.countVotes(now)
 }
 
-// onTimeoutNow starts an election at once, as the leader is about to leave.
+// onTimeoutNow starts an election without waiting for the timeout, at the request of a leader that resigns.
 func (m *Machine) onTimeoutNow(now time.Time, c MessageConfig) {
 	if c.Term != m.state.Term || c.From != m.leader || !m.log.members.IsVoter(m.config.Self) {
 		return
 	}
-	m.campaign(now, true)
+	m.startElection(now, true)
 }
 
-// Resign asks the most advanced voter to take over and reports whether there is one.
+// Resign asks the voter with the longest matching log to start an election. It reports false if this member does not
+// lead or there is no other voter. The member leads until it sees the new term.
 func (m *Machine) Resign() bool {
 	if m.role != leader {
 		return false
 	}
-	var best Member
-	var match uint64
+	var successor Member
+	var highestMatch uint64
 	for _, e := range m.log.members.List() {
 		p, ok := m.followers[e.ID()]
-		if ok && e.Voter() && p.match >= match {
-			best, match = e, p.match
+		if ok && e.Voter() && p.matchIndex >= highestMatch {
+			successor, highestMatch = e, p.matchIndex
 		}
 	}
-	if best.ID() == "" {
+	if successor.ID() == "" {
 		return false
 	}
-	m.send(MessageConfig{Kind: KindTimeoutNow, To: best.ID(), Address: best.Address(), Term: m.state.Term})
+	m.send(MessageConfig{Kind: KindTimeoutNow, To: successor.ID(), Address: successor.Address(), Term: m.state.Term})
 	return true
 }
--- a/internal/policy/replica/entry.go
+++ b/internal/policy/replica/entry.go
@@ -5,120 +5,120 @@
 
 // Kinds of entry.
 const (
-	// EntryEmpty opens a leader's term.
+	// EntryEmpty is the first entry of a leader's term. Once it is committed, so are all entries of earlier terms.
 	EntryEmpty EntryKind = "empty"
 	// EntryCommand holds a command for the state machine.
 	EntryCommand EntryKind = "command"
-	// EntryMembers holds a membership, in force from its append on.
+	// EntryMembers holds a membership, which takes effect when the entry is appended, not when it is committed.
 	EntryMembers EntryKind = "members"
 )
 
 // EntryConfig builds an Entry.
 type EntryConfig struct {
-	// Index is the entry's place in the log, from 1.
+	// Index is the position in the log, starting at 1.
 	Index uint64
 	// Term is the term of the leader that appended the entry.
 	Term uint64
-	// Kind says what the entry holds.
+	// Kind selects which of the fields below are set.
 	Kind EntryKind
-	// Proposal is the proposer's name for the command.
+	// Proposal is the identifier that the proposer gave to an EntryCommand.
 	Proposal string
-	// Command is the command of an EntryCommand.
+	// Command is the encoded command of an EntryCommand.
 	Command []byte
-	// Members is the membership of an EntryMembers.
+	// Members is the membership of an EntryMembers, nil for other kinds.
 	Members *Members
 }
 
-// Entry is one immutable entry of the log.
+// Entry is an immutable entry of the replicated log.
 type Entry struct {
 	config EntryConfig
 }
 
-// NewEntry returns an entry.
+// NewEntry returns an entry, which owns the slices of its configuration from then on.
 func NewEntry(c EntryConfig) *Entry { return &Entry{config: c} }
 
-// Config returns a copy to encode.
+// Config returns the fields of the entry for encoding.
 func (e *Entry) Config() EntryConfig { return e.config }
 
-// Index returns the entry's place in the log.
+// Index returns the position in the log, starting at 1.
 func (e *Entry) Index() uint64 { return e.config.Index }
 
 // Term returns the term of the leader that appended the entry.
 func (e *Entry) Term() uint64 { return e.config.Term }
 
-// Kind returns what the entry holds.
+// Kind returns the kind of the entry.
 func (e *Entry) Kind() EntryKind { return e.config.Kind }
 
-// Proposal returns the proposer's name for the command.
+// Proposal returns the proposer's identifier of an EntryCommand, empty for other kinds.
 func (e *Entry) Proposal() string { return e.config.Proposal }
 
-// Command returns the command, which the caller must not change.
+// Command returns the encoded command of an EntryCommand, which the caller must not modify.
 func (e *Entry) Command() []byte { return e.config.Command }
 
-// Members returns the membership of an EntryMembers, nil otherwise.
+// Members returns the membership of an EntryMembers, nil for other kinds.
 func (e *Entry) Members() *Members { return e.config.Members }
 
 // SnapshotConfig builds a Snapshot.
 type SnapshotConfig struct {
-	// Index is the last entry that the snapshot covers.
+	// Index is the index of the last entry that the snapshot covers.
 	Index uint64
 	// Term is the term of that entry.
 	Term uint64
-	// Members is the membership in force at that entry.
+	// Members is the membership in effect at that entry.
 	Members *Members
-	// Data is the state machine's state after that entry.
+	// Data is the encoded state of the state machine after that entry.
 	Data []byte
 }
 
-// Snapshot is the state machine's state after a prefix of the log.
+// Snapshot holds the state and membership after a prefix of the log, which it replaces. It is immutable.
 type Snapshot struct {
 	config SnapshotConfig
 }
 
-// NewSnapshot returns a snapshot.
+// NewSnapshot returns a snapshot, which owns the data of its configuration from then on.
 func NewSnapshot(c SnapshotConfig) *Snapshot { return &Snapshot{config: c} }
 
-// Config returns a copy to encode.
+// Config returns the fields of the snapshot for encoding.
 func (s *Snapshot) Config() SnapshotConfig { return s.config }
 
-// Index returns the last entry that the snapshot covers.
+// Index returns the index of the last entry that the snapshot covers.
 func (s *Snapshot) Index() uint64 { return s.config.Index }
 
 // Term returns the term of the last entry that the snapshot covers.
 func (s *Snapshot) Term() uint64 { return s.config.Term }
 
-// Members returns the membership in force at the last entry.
+// Members returns the membership in effect at the last entry that the snapshot covers.
 func (s *Snapshot) Members() *Members { return s.config.Members }
 
-// Data returns the state, which the caller must not change.
+// Data returns the encoded state, which the caller must not modify.
 func (s *Snapshot) Data() []byte { return s.config.Data }
 
 // HardStateConfig builds a HardState.
 type HardStateConfig struct {
-	// Cluster names the log, empty before the member belongs to one.
+	// Cluster identifies the log, empty until the member belongs to one.
 	Cluster string
-	// Term is the newest term that the member knows.
+	// Term is the highest term that the member has seen.
 	Term uint64
-	// Vote is whom the member voted for in the term, empty for nobody.
+	// Vote is the candidate that the member voted for in Term, empty for none.
 	Vote MemberID
 }
 
-// HardState is what a member must not forget besides its log.
+// HardState is the state, besides the log and its snapshot, that a member must make durable before it answers.
 type HardState struct {
 	config HardStateConfig
 }
 
-// NewHardState returns a hard state.
+// NewHardState returns the hard state of a member. The zero HardState is that of a member without a log.
 func NewHardState(c HardStateConfig) HardState { return HardState{config: c} }
 
-// Config returns a copy to encode.
+// Config returns the fields of the hard state for encoding.
 func (s HardState) Config() HardStateConfig { return s.config }
 
-// Cluster returns the name of the log, empty before the member belongs to one.
+// Cluster returns the identifier of the log, empty until the member belongs to one.
 func (s HardState) Cluster() string { return s.config.Cluster }
 
-// Term returns the newest term that the member knows.
+// Term returns the highest term that the member has seen.
 func (s HardState) Term() uint64 { return s.config.Term }
 
-// Vote returns whom the member voted for in the term.
+// Vote returns the candidate that the member voted for in Term, empty for none.
 func (s HardState) Vote() MemberID { return s.config.Vote }
--- a/internal/policy/replica/log.go
+++ b/internal/policy/replica/log.go
@@ -1,13 +1,16 @@
 package replica
 
-// log is a member's view of its entries after a base entry.
+// log holds in memory the entries after a base entry. Compaction and snapshots move the base forward.
 type log struct {
-	snapshot    *Snapshot
-	base        uint64
+	// snapshot is the newest snapshot, nil for none. It may cover entries that are still held.
+	snapshot *Snapshot
+	// baseIndex, baseTerm and baseMembers describe the entry before the first one that is held.
+	baseIndex   uint64
 	baseTerm    uint64
 	baseMembers *Members
 	entries     []*Entry
-	members     *Members
+	// members is the membership in effect at the last entry.
+	members *Members
 }
 
 func newLog(s *Snapshot, entries []*Entry) *log {
@@ -16,55 +19,57 @@
 		l.reset(s)
 	}
 	for _, e := range entries {
-		if e.Index() > l.base {
+		if e.Index() > l.baseIndex {
 			l.entries = append(l.entries, e)
 		}
 	}
-	l.findMembers()
+	l.updateMembers()
 	return l
 }
 
-// reset replaces the whole log by a snapshot.
+// reset drops all entries and makes the end of the snapshot the base.
 func (l *log) reset(s *Snapshot) {
 	l.snapshot = s
-	l.base = s.Index()
+	l.baseIndex = s.Index()
 	l.baseTerm = s.Term()
 	l.baseMembers = s.Members()
 	l.entries = nil
-	l.findMembers()
+	l.updateMembers()
 }
 
-func (l *log) last() uint64 { return l.base + uint64(len(l.entries)) }
+func (l *log) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
 func (l *log) lastTerm() uint64 {
-	t, _ := l.term(l.last())
+	t, _ := l.termAt(l.lastIndex())
 	return t
 }
 
-// term returns the term of an entry that the log still holds.
-func (l *log) term(index uint64) (uint64, bool) {
+// termAt returns the term of the base or of an entry that is held, and false for any other index.
+func (l *log) termAt(index uint64) (uint64, bool) {
 	switch {
-	case index == l.base:
+	case index == l.baseIndex:
 		return l.baseTerm, true
-	case index < l.base || index > l.last():
+	case index < l.baseIndex || index > l.lastIndex():
 		return 0, false
 	}
-	return l.at(index).Term(), true
+	return l.entryAt(index).Term(), true
 }
 
-func (l *log) at(index uint64) *Entry { return l.entries[index-l.base-1] }
+// entryAt returns the entry at an index, which the log must hold.
+func (l *log) entryAt(index uint64) *Entry { return l.entries[index-l.baseIndex-1] }
 
-// between returns the entries after one index up to another.
+// between returns the entries with after < index <= upTo, all of which the log must hold.
 func (l *log) between(after, upTo uint64) []*Entry {
-	return l.entries[after-l.base : upTo-l.base]
+	return l.entries[after-l.baseIndex : upTo-l.baseIndex]
 }
 
-// batch returns entries from an index on, at least one if there is one, of a limited total size in bytes.
+// batch returns the entries from an index on whose commands are together no larger than limit bytes. The first entry is
+// always included, whatever its size.
 func (l *log) batch(from uint64, limit int) []*Entry {
 	size := 0
 	end := from
-	for end <= l.last() {
-		size += len(l.at(end).Command())
+	for end <= l.lastIndex() {
+		size += len(l.entryAt(end).Command())
 		if size > limit && end > from {
 			break
 		}
@@ -73,58 +78,60 @@
 	return l.between(from-1, end-1)
 }
 
-// append adds entries that follow the last one.
+// append adds entries directly after the last one.
 func (l *log) append(entries ...*Entry) {
 	l.entries = append(l.entries, entries...)
-	l.findMembers()
+	l.updateMembers()
 }
 
-// truncate drops the entries after an index.
+// truncate drops the entries after the given index. It copies the rest, since messages share the old array.
 func (l *log) truncate(last uint64) {
-	kept := l.entries[:last-l.base]
+	kept := l.entries[:last-l.baseIndex]
 	l.entries = append([]*Entry(nil), kept...)
-	l.findMembers()
+	l.updateMembers()
 }
 
-// compact records a snapshot and drops the entries that are more than trailing before its end.
+// compact records a snapshot of an entry that is held and drops the entries that it covers, except for the last trailing
+// ones. These spare followers that lag a little from receiving the snapshot.
 func (l *log) compact(s *Snapshot, trailing uint64) {
 	l.snapshot = s
-	if s.Index() <= l.base+trailing {
+	if s.Index() <= l.baseIndex+trailing {
 		return
 	}
 	base := s.Index() - trailing
 	members := l.membersAt(base)
-	term, _ := l.term(base)
-	l.entries = append([]*Entry(nil), l.between(base, l.last())...)
-	l.base = base
+	term, _ := l.termAt(base)
+	l.entries = append([]*Entry(nil), l.between(base, l.lastIndex())...)
+	l.baseIndex = base
 	l.baseTerm = term
 	l.baseMembers = members
 }
 
-// membersAt returns the membership in force at an index.
+// membersAt returns the membership in effect at an index.
 func (l *log) membersAt(index uint64) *Members {
-	for i := index; i > l.base; i-- {
-		if m := l.at(i).Members(); m != nil {
+	for i := index; i > l.baseIndex; i-- {
+		if m := l.entryAt(i).Members(); m != nil {
 			return m
 		}
 	}
 	return l.baseMembers
 }
 
-// membersIndex returns where the membership in force was appended, at most the base.
+// membersIndex returns the index of the entry that holds the current membership, or the base if none that is held does.
 func (l *log) membersIndex() uint64 {
-	for i := l.last(); i > l.base; i-- {
-		if l.at(i).Members() != nil {
+	for i := l.lastIndex(); i > l.baseIndex; i-- {
+		if l.entryAt(i).Members() != nil {
 			return i
 		}
 	}
-	return l.base
+	return l.baseIndex
 }
 
-func (l *log) findMembers() { l.members = l.membersAt(l.last()) }
+func (l *log) updateMembers() { l.members = l.membersAt(l.lastIndex()) }
 
-// newerThan reports whether the log ends after another one, by term and then by index.
-func (l *log) newerThan(index, term uint64) bool {
+// isMoreUpToDate reports whether the log is newer than one that ends at the given entry: its last term is higher, or
+// equal with a higher last index.
+func (l *log) isMoreUpToDate(index, term uint64) bool {
 	own := l.lastTerm()
-	return own > term || own == term && l.last() > index
+	return own > term || own == term && l.lastIndex() > index
 }
--- a/internal/policy/replica/machine.go
+++ b/internal/policy/replica/machine.go
@@ -8,9 +8,10 @@
 	"github.com/figpier/figpier"
 )
 
-// missedHeartbeats is the number of heartbeats without which a member that has just started takes its log to have no leader.
-const missedHeartbeats = 2
+// startupHeartbeats is the number of heartbeat intervals that a member waits for a leader after its start.
+const startupHeartbeats = 2
 
+// role is a member's role in the current term.
 type role uint8
 
 const (
@@ -22,61 +23,76 @@
 
 // Config builds a Machine.
 type Config struct {
-	// Self names this incarnation.
+	// Self identifies this member.
 	Self MemberID
-	// Address is this member's IP address and port for messages.
+	// Address is the IP address and port at which this member receives messages.
 	Address string
-	// Heartbeat is the time between two messages of a leader to a silent follower.
+	// Heartbeat is the interval between heartbeats of a leader.
 	Heartbeat time.Duration
-	// Election is the least time without a leader before an election.
+	// Election is the minimum election timeout; the timeout is chosen at random between this and twice this.
 	Election time.Duration
-	// LearnerTimeout is how long a learner may be silent before it is taken out.
+	// LearnerTimeout is how long a learner may go without answering before it is removed.
 	LearnerTimeout time.Duration
-	// Voters is the number of voters above which a silent one is taken out, 0 to keep all.
+	// Voters is the number of voters above which one that does not answer is removed, 0 to keep all.
 	Voters int
-	// VoterTimeout is how long a voter may be silent before it is taken out where there are too many.
+	// VoterTimeout is how long a voter may go without answering before it is removed, if there are more than Voters.
 	VoterTimeout time.Duration
-	// BatchBytes limits the commands of one append.
+	// BatchBytes limits the total size of the commands in an append message, except that one command is always sent.
 	BatchBytes int
-	// PartBytes limits one part of a snapshot.
+	// PartBytes limits the size of the part of a snapshot in one message.
 	PartBytes int
-	// Trailing is the number of entries kept in memory before a snapshot's end.
+	// Trailing is the number of entries before the end of a snapshot that stay in memory for followers that lag behind.
 	Trailing uint64
-	// Random spreads the elections.
+	// Random draws the election timeouts.
 	Random *rand.Rand
-	// Now is the time of the start.
+	// Now is the time at which the member starts.
 	Now time.Time
-	// State is the durable hard state.
+	// State is the hard state from disk.
 	State HardState
-	// Snapshot is the durable snapshot, nil for none.
+	// Snapshot is the snapshot from disk, nil for none.
 	Snapshot *Snapshot
-	// Entries are the durable entries after the snapshot.
+	// Entries are the entries from disk that follow Snapshot.
 	Entries []*Entry
 }
 
-// Machine is the replicated log as one member sees it.
+// Machine is the Raft state of one member. It does no I/O, starts no goroutine and is not safe for concurrent use: the
+// control thread calls it and carries out its effects.
 type Machine struct {
-	config    Config
-	role      role
-	state     HardStateConfig
-	log       *log
-	commit    uint64
-	durable   uint64
-	leader    MemberID
-	heard     time.Time
-	deadline  time.Time
-	nextBeat  time.Time
-	votes     map[MemberID]bool
+	config Config
+	role   role
+	state  HardStateConfig
+	log    *log
+	// commitIndex is the index of the last entry known to be committed.
+	commitIndex uint64
+	// durableIndex is the index of the last entry known to be on this member's disk.
+	durableIndex uint64
+	// leader is the leader of the current term, empty if unknown.
+	leader MemberID
+	// leaderHeardAt is when the last message from the leader arrived.
+	leaderHeardAt time.Time
+	// electionDeadline is when a member that does not lead starts an election.
+	electionDeadline time.Time
+	// nextHeartbeat is when a leader sends heartbeats next.
+	nextHeartbeat time.Time
+	// votes holds the members that have granted their vote in the current pre-vote or election.
+	votes map[MemberID]bool
+	// followers is the progress of the other members; it is nil unless this member leads.
 	followers map[MemberID]*progress
-	joiners   map[MemberID]Member
-	termStart uint64
-	contact   time.Time
-	answers   stamps
-	assembly  *assembly
-	effects   *Effects
+	// pendingJoins are the members that asked this leader to join and are not yet in the membership.
+	pendingJoins map[MemberID]Member
+	// termStartIndex is the index of the first entry of the leader's term.
+	termStartIndex uint64
+	// lastQuorumContact is the latest known time at which a quorum followed the leader, see Contact.
+	lastQuorumContact time.Time
+	// answerTimes are the times at which this member answered the leader's messages.
+	answerTimes messageTimes
+	// incoming is the snapshot being received, nil for none.
+	incoming *incomingSnapshot
+	effects  *Effects
 }
 
-// New returns a member in the state that its disk holds; its first effects restore the snapshot.
+// New returns a member in the state that its disk holds. Its first effects restore the state machine from the snapshot.
+// A member that is the only voter may start an election at once.
 func New(c Config) *Machine {
 	m := &Machine{
 		config:  c,
@@ -84,50 +100,50 @@
 		log:     newLog(c.Snapshot, c.Entries),
 		effects: &Effects{restore: c.Snapshot},
 	}
-	m.commit = m.log.base
-	m.durable = m.log.last()
-	m.deadline = c.Now.Add(m.firstWait())
-	if m.alone() {
-		m.deadline = c.Now
+	m.commitIndex = m.log.baseIndex
+	m.durableIndex = m.log.lastIndex()
+	m.electionDeadline = c.Now.Add(m.initialElectionTimeout())
+	if m.isOnlyVoter() {
+		m.electionDeadline = c.Now
 	}
 	return m
 }
 
-// Take returns the effects since the last call.
+// Take returns the effects accumulated since the last call. It is called after each of the other methods.
 func (m *Machine) Take() *Effects {
 	e := m.effects
 	m.effects = &Effects{}
 	return e
 }
 
-// NextTick returns when Tick has to be called again.
+// NextTick returns the time at which Tick has to be called next. Other calls may change it.
 func (m *Machine) NextTick() time.Time {
 	if m.role == leader {
-		return m.nextBeat
+		return m.nextHeartbeat
 	}
-	return m.deadline
+	return m.electionDeadline
 }
 
-// Tick lets time pass.
+// Tick sends the heartbeats of a leader or starts an election, if either is due.
 func (m *Machine) Tick(now time.Time) {
 	switch {
 	case m.role == leader:
-		m.lead(now)
-	case !now.Before(m.deadline):
+		m.tickLeader(now)
+	case !now.Before(m.electionDeadline):
 		m.leader = ""
-		m.preVote(now)
+		m.startPreVote(now)
 	}
 }
 
-// Receive takes a message from another member.
+// Receive handles a message from another member. It ignores messages for another incarnation or another log.
 func (m *Machine) Receive(now time.Time, message *Message) {
 	c := message.Config()
-	if c.To != m.config.Self || m.otherCluster(c.Cluster) {
+	if c.To != m.config.Self || m.isForeignCluster(c.Cluster) {
 		return
 	}
 	switch c.Kind {
 	case KindPreVote, KindVote:
-		m.onVote(now, c)
+		m.onVoteRequest(now, c)
 	case KindPreVoteAnswer, KindVoteAnswer:
 		m.onVoteAnswer(now, c)
 	case KindAppend:
@@ -143,70 +159,73 @@
 	}
 }
 
-// Propose appends a command, or returns a NotLeaderError.
+// Propose appends a command to the log under the proposer's identifier, or returns a NotLeaderError. The command is
+// accepted only once it is among the committed entries: a later leader may discard it before.
 func (m *Machine) Propose(now time.Time, proposal string, command []byte) error {
 	if m.role != leader {
 		return figpier.NewNotLeaderError(m.Leader())
 	}
-	m.appendOwn(EntryConfig{Kind: EntryCommand, Proposal: proposal, Command: command})
-	m.sendNew(now)
+	m.appendEntry(EntryConfig{Kind: EntryCommand, Proposal: proposal, Command: command})
+	m.sendToIdleFollowers(now)
 	return nil
 }
 
-// Durable reports that the writes of effects, and all earlier ones, are on disk.
+// Durable tells the member that the writes of the effects, and all earlier ones, are on disk. A leader then counts
+// itself toward the quorum for these entries.
 func (m *Machine) Durable(now time.Time, e *Effects) {
 	index, term := e.Last()
-	if t, ok := m.log.term(index); !ok || t != term || index <= m.durable {
+	if t, ok := m.log.termAt(index); !ok || t != term || index <= m.durableIndex {
 		return
 	}
-	m.durable = index
+	m.durableIndex = index
 	if m.role == leader {
 		m.commitByQuorum(now)
 	}
 }
 
-// Compact records the state machine's state after the last entry that it has applied.
+// Compact takes a snapshot, with the given state of the state machine after the last committed entry, and drops the
+// entries that it covers, except for the trailing ones. It does nothing if a snapshot of that entry exists.
 func (m *Machine) Compact(data []byte) {
-	term, ok := m.log.term(m.commit)
-	if !ok || m.log.snapshot != nil && m.commit <= m.log.snapshot.Index() {
+	term, ok := m.log.termAt(m.commitIndex)
+	if !ok || m.log.snapshot != nil && m.commitIndex <= m.log.snapshot.Index() {
 		return
 	}
 	s := NewSnapshot(SnapshotConfig{
-		Index:   m.commit,
+		Index:   m.commitIndex,
 		Term:    term,
-		Members: m.log.membersAt(m.commit),
+		Members: m.log.membersAt(m.commitIndex),
 		Data:    data,
 	})
 	m.log.compact(s, m.config.Trailing)
 	m.effects.snapshot = s
-	m.effects.retained = slices.Clone(m.log.between(s.Index(), m.log.last()))
+	m.effects.retained = slices.Clone(m.log.between(s.Index(), m.log.lastIndex()))
 }
 
-// Leading reports whether this member leads.
+// Leading reports whether this member takes itself to be the leader. A newer leader may exist; see QuorumAge.
 func (m *Machine) Leading() bool { return m.role == leader }
 
-// Leader returns the leader's instance, empty when unknown.
+// Leader returns the control instance that leads the log, empty if unknown.
 func (m *Machine) Leader() figpier.InstanceID { return m.leader.Instance() }
 
-// LeaderAddress returns the leader's IP address and port, empty when unknown.
+// LeaderAddress returns the IP address and port at which the leader receives messages, empty if unknown.
 func (m *Machine) LeaderAddress() string {
 	e, _ := m.log.members.Find(m.leader)
 	return e.Address()
 }
 
-// Term returns the newest term that this member knows.
+// Term returns the highest term that this member has seen.
 func (m *Machine) Term() uint64 { return m.state.Term }
 
-// Cluster returns the name of the log, empty before this member belongs to one.
+// Cluster returns the identifier of the log, empty until this member belongs to one.
 func (m *Machine) Cluster() string { return m.state.Cluster }
 
-// Members returns the membership in force.
+// Members returns the membership in effect, which may not be committed yet.
 func (m *Machine) Members() *Members { return m.log.members }
 
-// Commit returns the last entry that this member knows to be committed.
-func (m *Machine) Commit() uint64 { return m.commit }
+// Commit returns the index of the last entry that this member knows to be committed.
+func (m *Machine) Commit() uint64 { return m.commitIndex }
 
-// CompactedTo returns the end of the newest snapshot, 0 without one.
+// CompactedTo returns the index of the last entry that the newest snapshot covers, 0 without a snapshot.
 func (m *Machine) CompactedTo() uint64 {
 	if m.log.snapshot == nil {
 		return 0
@@ -214,15 +233,17 @@
 	return m.log.snapshot.Index()
 }
 
-// alone reports whether this member is a quorum by itself.
-func (m *Machine) alone() bool {
+// isOnlyVoter reports whether this member forms a quorum by itself.
+func (m *Machine) isOnlyVoter() bool {
 	return len(m.log.members.Voters()) == 1 && m.log.members.IsVoter(m.config.Self)
 }
 
-func (m *Machine) otherCluster(name string) bool {
+// isForeignCluster reports whether a message belongs to another log. A member without a log accepts any.
+func (m *Machine) isForeignCluster(name string) bool {
 	return m.state.Cluster != "" && m.state.Cluster != name
 }
 
+// send adds a message to the effects and fills in the sender.
 func (m *Machine) send(c MessageConfig) {
 	if c.Cluster == "" {
 		c.Cluster = m.state.Cluster
@@ -232,7 +253,7 @@
 	m.effects.messages = append(m.effects.messages, NewMessage(c))
 }
 
-// reply answers a message.
+// reply sends an answer to the sender of a message, with that message's cluster and sequence number.
 func (m *Machine) reply(to MessageConfig, c MessageConfig) {
 	c.Cluster = to.Cluster
 	c.To = to.From
@@ -241,36 +262,39 @@
 	m.send(c)
 }
 
-func (m *Machine) saveState() {
+// queueStateWrite adds the current hard state to the effects.
+func (m *Machine) queueStateWrite() {
 	s := NewHardState(m.state)
 	m.effects.state = &s
 }
 
-// adopt makes a member without a log part of the sender's.
-func (m *Machine) adopt(c MessageConfig) {
+// adoptCluster makes a member without a log part of the sender's log.
+func (m *Machine) adoptCluster(c MessageConfig) {
 	if m.state.Cluster == "" {
 		m.state.Cluster = c.Cluster
-		m.saveState()
+		m.queueStateWrite()
 	}
 }
 
-// postpone sets the next election to a random time.
-func (m *Machine) postpone(now time.Time) {
-	spread := time.Duration(m.config.Random.Int64N(int64(m.config.Election)))
-	m.deadline = now.Add(m.config.Election + spread)
+// resetElectionDeadline restarts the election timeout, between one and two times Config.Election. The random part
+// keeps members from starting elections at the same time.
+func (m *Machine) resetElectionDeadline(now time.Time) {
+	jitter := time.Duration(m.config.Random.Int64N(int64(m.config.Election)))
+	m.electionDeadline = now.Add(m.config.Election + jitter)
 }
 
-// firstWait returns how long a member that has just started waits for a leader: its missed heartbeats, and a random time so
-// that members which start together do not ask for votes together. A leader that lives keeps its followers from voting.
-func (m *Machine) firstWait() time.Duration {
-	return missedHeartbeats*m.config.Heartbeat + time.Duration(m.config.Random.Int64N(int64(m.config.Election/2)))
+// initialElectionTimeout returns how long a member waits for a leader after its start: a few heartbeats, and a random
+// time so that members that start together do not ask for votes together. It may be shorter than Config.Election,
+// because the followers of a live leader refuse the vote.
+func (m *Machine) initialElectionTimeout() time.Duration {
+	return startupHeartbeats*m.config.Heartbeat + time.Duration(m.config.Random.Int64N(int64(m.config.Election/2)))
 }
 
-// advance marks entries as committed.
-func (m *Machine) advance(to uint64) {
-	if to <= m.commit {
+// commitTo moves the commit index forward and adds the newly committed entries to the effects.
+func (m *Machine) commitTo(to uint64) {
+	if to <= m.commitIndex {
 		return
 	}
-	m.effects.committed = append(m.effects.committed, m.log.between(m.commit, to)...)
-	m.commit = to
+	m.effects.committed = append(m.effects.committed, m.log.between(m.commitIndex, to)...)
+	m.commitIndex = to
 }
--- a/internal/policy/replica/machine_test.go
+++ b/internal/policy/replica/machine_test.go
@@ -10,98 +10,98 @@
 	"pgregory.net/rapid"
 )
 
-// weather says how often things happen in a test, in thousandths.
-type weather struct {
-	pass    int
-	propose int
-	resign  int
-	restart int
-	remove  int
-	lose    int
-	flush   int
-	longest int
+// stepRates holds the probabilities of the steps of a test, in thousandths, and the longest time step in maxMillis.
+type stepRates struct {
+	advanceTime int
+	propose     int
+	resign      int
+	restart     int
+	remove      int
+	loseDisk    int
+	writeNext   int
+	maxMillis   int
 }
 
-func newWeather(c *cluster) weather {
-	return weather{
-		pass:    20 + c.random.IntN(150),
-		propose: 10 + c.random.IntN(60),
-		resign:  c.random.IntN(2) * c.random.IntN(30),
-		restart: 2 + c.random.IntN(2)*c.random.IntN(40),
-		remove:  c.random.IntN(2) * c.random.IntN(20),
-		lose:    c.random.IntN(10),
-		flush:   150 + c.random.IntN(400),
-		longest: 20 + c.random.IntN(300),
+func randomStepRates(c *cluster) stepRates {
+	return stepRates{
+		advanceTime: 20 + c.random.IntN(150),
+		propose:     10 + c.random.IntN(60),
+		resign:      c.random.IntN(2) * c.random.IntN(30),
+		restart:     2 + c.random.IntN(2)*c.random.IntN(40),
+		remove:      c.random.IntN(2) * c.random.IntN(20),
+		loseDisk:    c.random.IntN(10),
+		writeNext:   150 + c.random.IntN(400),
+		maxMillis:   20 + c.random.IntN(300),
 	}
 }
 
-// step does one random thing to a cluster.
-func step(c *cluster, w weather, action, pick int) {
+// randomStep performs the step that action selects, from 0 to 999, on the node that pick selects.
+func randomStep(c *cluster, rates stepRates, action, pick int) {
 	n := c.nodes[pick%len(c.nodes)]
-	below := func(share int) bool {
+	chosen := func(share int) bool {
 		action -= share
 		return action < 0
 	}
 	switch {
-	case below(w.pass):
-		c.pass(time.Duration(pick%w.longest) * time.Millisecond)
-	case below(w.propose):
+	case chosen(rates.advanceTime):
+		c.advanceTime(time.Duration(pick%rates.maxMillis) * time.Millisecond)
+	case chosen(rates.propose):
 		c.propose(n)
-	case below(w.resign):
+	case chosen(rates.resign):
 		n.machine.Resign()
-		c.take(n)
-	case below(w.restart):
-		c.open(n)
-	case below(w.remove):
-		if c.mayLose() {
+		c.collect(n)
+	case chosen(rates.restart):
+		c.start(n)
+	case chosen(rates.remove):
+		if c.toleratesDiskLoss() {
 			_ = n.machine.Remove(c.now, c.nodes[pick/7%len(c.nodes)].id.Instance())
-			c.take(n)
+			c.collect(n)
 		}
-	case below(w.lose):
-		if c.mayLose() {
-			c.nodes[pick%len(c.nodes)] = c.blank(pick % len(c.nodes))
+	case chosen(rates.loseDisk):
+		if c.toleratesDiskLoss() {
+			c.nodes[pick%len(c.nodes)] = c.newNode(pick % len(c.nodes))
 		}
-	case below(5):
+	case chosen(5):
 		n.machine.Compact([]byte(strings.Join(n.applied, " ")))
-		c.take(n)
-	case below(3):
-		c.cut = n.id
-	case below(6):
-		c.cut = ""
-	case below(w.flush):
-		c.flush(n)
-	case len(c.wire) == 0:
-	case below(20):
-		c.wire = slices.Delete(c.wire, pick%len(c.wire), pick%len(c.wire)+1)
+		c.collect(n)
+	case chosen(3):
+		c.isolated = n.id
+	case chosen(6):
+		c.isolated = ""
+	case chosen(rates.writeNext):
+		c.writeNext(n)
+	case len(c.inFlight) == 0:
+	case chosen(20):
+		c.inFlight = slices.Delete(c.inFlight, pick%len(c.inFlight), pick%len(c.inFlight)+1)
 	default:
-		c.deliver(pick%len(c.wire), pick%16 == 0)
+		c.deliver(pick%len(c.inFlight), pick%16 == 0)
 	}
 }
 
-func TestCommittedEntriesSurviveDelaysRestartsAndLostDisks(t *testing.T) {
+func TestCommittedEntriesSurviveDelaysRestartsAndDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t.Fatalf, rapid.Uint64().Draw(t, "seed"))
-		w := newWeather(c)
+		rates := randomStepRates(c)
 		actions := rapid.SliceOfN(rapid.IntRange(0, 999), 0, 3000).Draw(t, "actions")
 		for _, a := range actions {
-			step(c, w, a, c.random.IntN(1<<20))
+			randomStep(c, rates, a, c.random.IntN(1<<20))
 		}
 		c.settle()
 	})
 }
 
-func TestAgedClustersSettle(t *testing.T) {
+func TestClusterConvergesAfterManyFaults(t *testing.T) {
 	for seed := range uint64(300) {
 		c := newCluster(t.Fatalf, seed)
-		w := newWeather(c)
+		rates := randomStepRates(c)
 		for range 8000 {
-			step(c, w, c.random.IntN(1000), c.random.IntN(1<<20))
+			randomStep(c, rates, c.random.IntN(1000), c.random.IntN(1<<20))
 		}
 		c.settle()
 	}
 }
 
-func TestSecondDiskIsLostRightAfterARepair(t *testing.T) {
+func TestEntriesSurviveSecondDiskLossAfterRecovery(t *testing.T) {
 	for second := range 3 {
 		c := newCluster(t.Fatalf, 7)
 		c.settle()
@@ -109,19 +109,19 @@
 			c.propose(c.leader())
 		}
 		c.settle()
-		c.nodes[2] = c.blank(2)
+		c.nodes[2] = c.newNode(2)
 		c.settle()
-		c.nodes[second] = c.blank(second)
+		c.nodes[second] = c.newNode(second)
 		c.settle()
 		assert.Equal(t, len(c.leader().applied), 20)
 	}
 }
 
-func TestIsolatedLeaderStepsDownAndItsAgeGrows(t *testing.T) {
+func TestIsolatedLeaderStepsDownAndItsQuorumAgeGrows(t *testing.T) {
 	c := newCluster(t.Fatalf, 3)
 	c.settle()
 	for range 10 {
-		c.pass(testHeartbeat)
+		c.advanceTime(testHeartbeat)
 		c.settle()
 	}
 	old := c.leader()
@@ -142,22 +142,22 @@
 	c := newCluster(t.Fatalf, 5)
 	c.settle()
 	term := c.leader().machine.Term()
-	var away *node
+	var isolated *node
 	for _, n := range c.nodes {
 		if !n.machine.Leading() {
-			away = n
+			isolated = n
 		}
 	}
 	for range 100 {
-		away.machine.Tick(away.machine.NextTick())
-		away.machine.Take()
+		isolated.machine.Tick(isolated.machine.NextTick())
+		isolated.machine.Take()
 	}
 	c.settle()
 	assert.Equal(t, c.leader().machine.Term(), term)
-	assert.Equal(t, away.machine.Term(), term)
+	assert.Equal(t, isolated.machine.Term(), term)
 }
 
-func TestFollowersAgeNeverHidesADelay(t *testing.T) {
+func TestFollowerQuorumAgeIncludesMessageDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t.Fatalf, rapid.Uint64().Draw(t, "seed"))
 		c.settle()
@@ -168,23 +168,23 @@
 			for _, n := range c.nodes {
 				if n == lead {
 					n.machine.Tick(c.now)
-					c.take(n)
+					c.collect(n)
 				}
-				for len(n.queue) > 0 {
-					c.flush(n)
+				for len(n.pending) > 0 {
+					c.writeNext(n)
 				}
 			}
 			cut = c.now
 			if !lead.machine.Leading() {
 				break
 			}
-			for len(c.wire) > 0 && rapid.IntRange(0, 3).Draw(t, "deliver") > 0 {
+			for len(c.inFlight) > 0 && rapid.IntRange(0, 3).Draw(t, "deliver") > 0 {
 				c.deliver(0, false)
 			}
 		}
-		// From the cut on, nothing that a member sends reaches the leader; late messages of the leader still arrive.
-		late := c.wire
-		c.wire = nil
+		// From the cut on, no message reaches the leader, but delayed messages from the leader still arrive.
+		late := c.inFlight
+		c.inFlight = nil
 		c.now = c.now.Add(time.Duration(rapid.IntRange(0, 10000).Draw(t, "delay")) * time.Millisecond)
 		for _, m := range late {
 			for _, n := range c.nodes {
@@ -195,18 +195,18 @@
 		}
 		for _, n := range c.nodes {
 			if n != lead && n.machine.QuorumAge(c.now) < c.now.Sub(cut) {
-				t.Fatalf("%s is %v old by its own account, but cut off for %v", n.id, n.machine.QuorumAge(c.now), c.now.Sub(cut))
+				t.Fatalf("%s reports a quorum age of %v, but the leader was cut off %v ago", n.id, n.machine.QuorumAge(c.now), c.now.Sub(cut))
 			}
 		}
 	})
 }
 
-func TestMembersThatStartTogetherSoonHaveALeader(t *testing.T) {
+func TestFirstElectionAfterRestartStartsInTime(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t.Fatalf, seed)
 		c.settle()
 		for _, n := range c.nodes {
-			c.open(n)
+			c.start(n)
 		}
 		first := c.nodes[0].machine.NextTick()
 		for _, n := range c.nodes {
@@ -214,7 +214,7 @@
 				first = next
 			}
 		}
-		assert.Assert(t, first.Sub(c.now) <= missedHeartbeats*testHeartbeat+testElection/2, "the first vote is asked for after %v", first.Sub(c.now))
-		assert.Assert(t, first.Sub(c.now) >= missedHeartbeats*testHeartbeat, "no time is left to a leader that lives: %v", first.Sub(c.now))
+		assert.Assert(t, first.Sub(c.now) <= startupHeartbeats*testHeartbeat+testElection/2, "the first election starts only after %v", first.Sub(c.now))
+		assert.Assert(t, first.Sub(c.now) >= startupHeartbeats*testHeartbeat, "the first election starts after %v, before a live leader's heartbeats can arrive", first.Sub(c.now))
 	}
 }
--- a/internal/policy/replica/membership.go
+++ b/internal/policy/replica/membership.go
@@ -8,105 +8,110 @@
 	"github.com/figpier/figpier"
 )
 
-// memberLimit is the greatest number of control instances.
-const memberLimit = 9
+// maxMembers limits the number of members. A new incarnation of a member may join beyond it, to replace the old one.
+const maxMembers = 9
 
-// Found makes a member without a log the first of a new one.
+// Found creates a new log, on a member without one, from the given members and initial state. It does nothing on a
+// member that already belongs to a log.
 func (m *Machine) Found(now time.Time, cluster string, members *Members, data []byte) {
 	if m.state.Cluster != "" {
 		return
 	}
 	m.state.Cluster = cluster
 	m.state.Term = 1
-	m.saveState()
+	m.queueStateWrite()
 	s := NewSnapshot(SnapshotConfig{Index: 1, Term: 1, Members: members, Data: data})
 	m.log.reset(s)
-	m.commit = s.Index()
+	m.commitIndex = s.Index()
 	m.effects.snapshot = s
-	m.deadline = now
+	m.electionDeadline = now
 }
 
-// Join asks the leader to take a member in, or returns a NotLeaderError.
-func (m *Machine) Join(now time.Time, e Member) error {
+// Join asks the leader to add a member: first as a learner, then as a voter once it has the whole log. It returns a
+// NotLeaderError on another member, and a MembershipError for another incarnation of the leader's own instance.
+func (m *Machine) Join(now time.Time, joining Member) error {
 	if m.role != leader {
 		return figpier.NewNotLeaderError(m.Leader())
 	}
-	if e.ID().Instance() == m.config.Self.Instance() {
-		return &MembershipError{instance: e.ID().Instance(), detail: "the instance leads the log, so its data folder is not lost"}
+	if joining.ID().Instance() == m.config.Self.Instance() {
+		return &MembershipError{instance: joining.ID().Instance(), detail: "the instance leads the log, so it cannot have lost its data folder"}
 	}
-	c := e.Config()
+	c := joining.Config()
 	c.Voter = false
-	m.joiners[c.ID] = NewMember(c)
-	m.changeMembers(now)
+	m.pendingJoins[c.ID] = NewMember(c)
+	m.advanceMembership(now)
 	return nil
 }
 
-// Remove asks the leader to take a control instance out for good, or returns a NotLeaderError.
+// Remove removes a control instance from the membership. It returns a NotLeaderError on a member that does not lead,
+// and a MembershipError if the change is not possible now. The removal takes effect before it is committed.
 func (m *Machine) Remove(now time.Time, i figpier.InstanceID) error {
 	if m.role != leader {
 		return figpier.NewNotLeaderError(m.Leader())
 	}
-	if !m.mayChange() {
-		return &MembershipError{instance: i, detail: "another change of the members is under way"}
+	if !m.canChangeMembers() {
+		return &MembershipError{instance: i, detail: "another membership change is in progress"}
 	}
 	for _, e := range m.log.members.List() {
 		next := m.log.members.without(e.ID())
 		if e.ID().Instance() != i {
 			continue
 		}
-		if !m.answered(now, next) {
-			return &MembershipError{instance: i, detail: "no majority of the other voters answers"}
+		if !m.hasRecentQuorum(now, next) {
+			return &MembershipError{instance: i, detail: "no majority of the remaining voters is reachable"}
 		}
-		m.change(now, next)
+		m.appendMembership(now, next)
 		return nil
 	}
-	return &MembershipError{instance: i, detail: "the instance is no member"}
+	return &MembershipError{instance: i, detail: "the instance is not a member"}
 }
 
-// answered reports whether a majority of a membership's voters has answered lately.
-func (m *Machine) answered(now time.Time, next *Members) bool {
+// hasRecentQuorum reports whether a majority of the voters in a membership has answered a message that was sent within
+// the last Config.Election.
+func (m *Machine) hasRecentQuorum(now time.Time, next *Members) bool {
 	recent := 0
 	for _, id := range next.Voters() {
-		if id == m.config.Self || now.Sub(m.followers[id].contact) <= m.config.Election {
+		if id == m.config.Self || now.Sub(m.followers[id].lastContact) <= m.config.Election {
 			recent++
 		}
 	}
 	return recent >= next.Quorum()
 }
 
-// MembershipError reports a change of the members that can't be made now.
+// MembershipError reports that a membership change was refused.
 type MembershipError struct {
 	instance figpier.InstanceID
 	detail   string
 }
 
-// Instance returns the control instance that the change is about.
+// Instance returns the control instance that was to be added or removed.
 func (e *MembershipError) Instance() figpier.InstanceID { return e.instance }
 
 // Error implements error.
 func (e *MembershipError) Error() string {
-	return "change of control instance " + string(e.instance) + ": " + e.detail
+	return "cannot change the membership of control instance " + string(e.instance) + ": " + e.detail
 }
 
-// mayChange reports whether the last change of members is committed and so is the opening of the leader's term.
-func (m *Machine) mayChange() bool {
-	return m.commit >= m.termStart && m.log.membersIndex() <= m.commit
+// canChangeMembers reports whether the last membership change and the first entry of the leader's term are committed.
+// Before that, two changes could be in effect at once, with quorums that do not overlap.
+func (m *Machine) canChangeMembers() bool {
+	return m.commitIndex >= m.termStartIndex && m.log.membersIndex() <= m.commitIndex
 }
 
-// changeMembers takes the next single step that a joining member needs.
-func (m *Machine) changeMembers(now time.Time) {
-	if !m.mayChange() {
+// advanceMembership makes the next change that a joining or unresponsive member requires, one member at a time.
+func (m *Machine) advanceMembership(now time.Time) {
+	if !m.canChangeMembers() {
 		return
 	}
-	if next := m.nextMembers(now); next != nil && m.answered(now, next) {
-		m.change(now, next)
+	if next := m.nextMembership(now); next != nil && m.hasRecentQuorum(now, next) {
+		m.appendMembership(now, next)
 	}
 }
 
-// nextMembers returns the membership after the next single step, nil when none is due.
-func (m *Machine) nextMembers(now time.Time) *Members {
+// nextMembership returns the membership after the next change of a single member, or nil if no change is due.
+func (m *Machine) nextMembership(now time.Time) *Members {
 	current := m.log.members
-	if next := m.prune(now); next != nil {
+	if next := m.withoutSilentVoter(now); next != nil {
 		return next
 	}
 	for _, e := range current.List() {
@@ -117,16 +122,17 @@
 		if now.Sub(p.lastSeen()) > m.config.LearnerTimeout {
 			return current.without(e.ID())
 		}
-		if p.match >= m.commit {
-			return m.promote(e)
+		if p.matchIndex >= m.commitIndex {
+			return m.withPromoted(e)
 		}
 	}
-	return m.admit()
+	return m.withNextJoin()
 }
 
-// prune takes a silent voter out where there are more voters than wanted, so that a lost one that was replaced does not
-// count for quorums; it joins again if it comes back.
-func (m *Machine) prune(now time.Time) *Members {
+// withoutSilentVoter returns the membership without a voter that has not answered for VoterTimeout, or nil if there is
+// none or there are no more than Config.Voters. This way a lost voter that was replaced no longer counts toward quorums.
+// It joins again if it returns.
+func (m *Machine) withoutSilentVoter(now time.Time) *Members {
 	if m.config.Voters == 0 || len(m.log.members.Voters()) <= m.config.Voters {
 		return nil
 	}
@@ -139,42 +145,44 @@
 	return nil
 }
 
-// promote lets a learner with the whole log count, after its instance's lost incarnation is out.
-func (m *Machine) promote(e Member) *Members {
-	if old, ok := m.log.members.other(e.ID()); ok {
+// withPromoted returns the membership with a learner made a voter or, as a first step, without the earlier incarnation
+// of the learner's instance.
+func (m *Machine) withPromoted(learner Member) *Members {
+	if old, ok := m.log.members.otherIncarnation(learner.ID()); ok {
 		return m.log.members.without(old.ID())
 	}
-	c := e.Config()
+	c := learner.Config()
 	c.Voter = true
 	return m.log.members.with(NewMember(c))
 }
 
-// admit adds a joiner as a learner.
-func (m *Machine) admit() *Members {
-	for _, id := range slices.Sorted(maps.Keys(m.joiners)) {
-		joiner := m.joiners[id]
+// withNextJoin returns the membership with the next joining member added as a learner, or nil if none can be added. As a
+// first step it removes an earlier incarnation that is a learner, and it updates the address of a known member.
+func (m *Machine) withNextJoin() *Members {
+	for _, id := range slices.Sorted(maps.Keys(m.pendingJoins)) {
+		joining := m.pendingJoins[id]
 		if known, member := m.log.members.Find(id); member {
-			delete(m.joiners, id)
-			if known.Address() != joiner.Address() {
-				return m.log.members.with(known.at(joiner.Address()))
+			delete(m.pendingJoins, id)
+			if known.Address() != joining.Address() {
+				return m.log.members.with(known.withAddress(joining.Address()))
 			}
 			continue
 		}
-		old, replaces := m.log.members.other(id)
+		old, replaces := m.log.members.otherIncarnation(id)
 		if replaces && !old.Voter() {
 			return m.log.members.without(old.ID())
 		}
-		if replaces || len(m.log.members.List()) < memberLimit {
-			return m.log.members.with(joiner)
+		if replaces || len(m.log.members.List()) < maxMembers {
+			return m.log.members.with(joining)
 		}
 	}
 	return nil
 }
 
-// change appends a membership, which is in force from now on.
-func (m *Machine) change(now time.Time, next *Members) {
-	m.appendOwn(EntryConfig{Kind: EntryMembers, Members: next})
+// appendMembership appends an entry with a new membership, which takes effect at once.
+func (m *Machine) appendMembership(now time.Time, next *Members) {
+	m.appendEntry(EntryConfig{Kind: EntryMembers, Members: next})
 	m.syncFollowers(now)
-	m.sendNew(now)
+	m.sendToIdleFollowers(now)
 	m.commitByQuorum(now)
 }
--- a/internal/policy/replica/membership_test.go
+++ b/internal/policy/replica/membership_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLearnerCountsOnlyWithTheWholeLog(t *testing.T) {
+func TestLearnerIsPromotedOnlyWithTheWholeLog(t *testing.T) {
 	c := newCluster(t.Fatalf, 11)
 	c.settle()
 	for range 10 {
@@ -15,13 +15,13 @@
 	}
 	c.settle()
 	lead := c.leader()
-	lost := (slot(c, lead) + 1) % 3
-	c.nodes[lost] = c.blank(lost)
+	lost := (nodeIndex(c, lead) + 1) % 3
+	c.nodes[lost] = c.newNode(lost)
 	fresh := c.nodes[lost].id
-	c.pass(testHeartbeat)
+	c.advanceTime(testHeartbeat)
 	for range 20 {
 		c.exchangeWithout(fresh)
-		c.pass(testHeartbeat)
+		c.advanceTime(testHeartbeat)
 		_, member := lead.machine.Members().Find(fresh)
 		assert.Assert(t, member)
 		assert.Assert(t, !lead.machine.Members().IsVoter(fresh))
@@ -31,8 +31,8 @@
 	assert.Assert(t, lead.machine.Members().IsVoter(fresh))
 }
 
-// slot returns the place of a node in its cluster.
-func slot(c *cluster, n *node) int {
+// nodeIndex returns the index of a node in its cluster, -1 if it is not there.
+func nodeIndex(c *cluster, n *node) int {
 	for i, o := range c.nodes {
 		if o == n {
 			return i
@@ -41,28 +41,28 @@
 	return -1
 }
 
-// exchangeWithout delivers all messages but those of one member.
+// exchangeWithout delivers all messages except those from and to one member.
 func (c *cluster) exchangeWithout(id MemberID) {
-	c.cut = id
+	c.isolated = id
 	for range 10 {
 		for _, n := range c.nodes {
-			for len(n.queue) > 0 {
-				c.flush(n)
+			for len(n.pending) > 0 {
+				c.writeNext(n)
 			}
 		}
-		for len(c.wire) > 0 {
+		for len(c.inFlight) > 0 {
 			c.deliver(0, false)
 		}
 	}
-	c.cut = ""
+	c.isolated = ""
 }
 
 func TestMembersChangeOneAtATime(t *testing.T) {
 	c := newCluster(t.Fatalf, 12)
 	c.settle()
 	lead := c.leader()
-	first := c.nodes[(slot(c, lead)+1)%3].id.Instance()
-	second := c.nodes[(slot(c, lead)+2)%3].id.Instance()
+	first := c.nodes[(nodeIndex(c, lead)+1)%3].id.Instance()
+	second := c.nodes[(nodeIndex(c, lead)+2)%3].id.Instance()
 
 	assert.NilError(t, lead.machine.Remove(c.now, first))
 	refused := &MembershipError{}
@@ -71,20 +71,20 @@
 	assert.Equal(t, len(lead.machine.Members().Voters()), 2)
 }
 
-func TestMembersChangeOnlyAfterTheTermIsOpen(t *testing.T) {
+func TestMembersChangeOnlyAfterTheLeaderCommitsInItsTerm(t *testing.T) {
 	c := newCluster(t.Fatalf, 13)
 	for c.leader() == nil {
-		c.pass(testHeartbeat)
+		c.advanceTime(testHeartbeat)
 		for _, n := range c.nodes {
-			c.flush(n)
-			c.flush(n)
+			c.writeNext(n)
+			c.writeNext(n)
 		}
-		for len(c.wire) > 0 && c.leader() == nil {
+		for len(c.inFlight) > 0 && c.leader() == nil {
 			c.deliver(0, false)
 		}
 	}
 	lead := c.leader()
-	other := c.nodes[(slot(c, lead)+1)%3].id.Instance()
+	other := c.nodes[(nodeIndex(c, lead)+1)%3].id.Instance()
 	assert.Assert(t, lead.machine.Remove(c.now, other) != nil)
 	c.settle()
 	assert.NilError(t, c.leader().machine.Remove(c.now, other))
@@ -104,18 +104,18 @@
 	more := from
 	more.Kind, more.Index, more.IndexTerm, more.Entries, more.Commit = KindAppend, 1, 1, entries, 1
 	n.machine.Receive(c.now, NewMessage(more))
-	assert.Equal(t, n.machine.log.last(), uint64(6))
+	assert.Equal(t, n.machine.log.lastIndex(), uint64(6))
 
 	late := start
 	late.Index, late.IndexTerm = 4, 2
 	n.machine.Receive(c.now, NewMessage(late))
-	assert.Equal(t, n.machine.log.last(), uint64(6))
+	assert.Equal(t, n.machine.log.lastIndex(), uint64(6))
 	assert.Equal(t, n.machine.Commit(), uint64(4))
 }
 
-func TestLoneVoterCommitsOnlyWhatIsDurable(t *testing.T) {
+func TestOnlyVoterCommitsOnlyWhatIsDurable(t *testing.T) {
 	c := newCluster(t.Fatalf, 15)
-	n := c.blank(0)
+	n := c.newNode(0)
 	n.machine.Found(c.now, "alone", NewMembers(NewMember(MemberConfig{ID: n.id, Voter: true})), nil)
 	n.machine.Tick(c.now)
 	assert.NilError(t, n.machine.Propose(c.now, "p", []byte("p")))
@@ -125,32 +125,32 @@
 	assert.Equal(t, len(n.machine.Take().Committed()), 2)
 }
 
-func TestRefusalThatMovesNothingWaitsForTheHeartbeat(t *testing.T) {
+func TestRepeatedAppendRefusalIsNotResentBeforeTheHeartbeat(t *testing.T) {
 	c := newCluster(t.Fatalf, 16)
 	c.settle()
 	c.propose(c.leader())
 	c.settle()
 	lead := c.leader()
-	other := c.nodes[(slot(c, lead)+1)%3]
+	other := c.nodes[(nodeIndex(c, lead)+1)%3]
 	refusal := MessageConfig{
 		Kind: KindAppendAnswer, Cluster: "log", From: other.id, To: lead.id,
-		Term: lead.machine.Term(), Sequence: lead.machine.followers[other.id].sequence,
+		Term: lead.machine.Term(), Sequence: lead.machine.followers[other.id].lastSequence,
 	}
 	lead.machine.Receive(c.now, NewMessage(refusal))
 	assert.Equal(t, len(lead.machine.Take().Messages()), 0)
 }
 
-func TestSilentVoterAboveTheWantedNumberIsTakenOut(t *testing.T) {
+func TestSilentVoterAboveTheConfiguredNumberIsRemoved(t *testing.T) {
 	c := newCluster(t.Fatalf, 14)
 	c.settle()
 	lead := c.leader()
 	lead.machine.config.Voters, lead.machine.config.VoterTimeout = 2, 3*testHeartbeat
-	lost := c.nodes[(slot(c, lead)+1)%3].id
+	lost := c.nodes[(nodeIndex(c, lead)+1)%3].id
 	c.settle()
 	assert.Equal(t, len(lead.machine.Members().Voters()), 3, "voters that answer stay")
 	for range 10 {
 		c.exchangeWithout(lost)
-		c.pass(testHeartbeat)
+		c.advanceTime(testHeartbeat)
 	}
 	assert.Assert(t, !lead.machine.Members().IsVoter(lost))
 	assert.Equal(t, len(lead.machine.Members().Voters()), 2)
