--- a/internal/policy/shard/assigner.go
+++ b/internal/policy/shard/assigner.go
@@ -6,80 +6,88 @@
 	"time"
 )
 
-// foundingTime is how long the first shards wait for more hosts to come.
-const foundingTime = 500 * time.Millisecond
+// initialPlacementDelay is the time between the first host's renewal and the first assignments, so that these are spread
+// over the hosts that start together.
+const initialPlacementDelay = 500 * time.Millisecond
 
 // AssignerConfig builds an Assigner.
 type AssignerConfig struct {
-	// Shards is the number of shards.
+	// Shards is the number of shards, whose IDs count from 0.
 	Shards int
-	// Replicated says which shards have backups; the state of the others starts anew with each primary.
+	// Replicated says which shards have backups. The state of the others starts empty with each primary.
 	Replicated func(ID) bool
 	// Backups is the number of backups that a replicated shard should have.
 	Backups int
-	// LeaseTime is the length of a control lease.
+	// LeaseTime is the duration of a control lease.
 	LeaseTime time.Duration
-	// ClockError bounds how far two clocks drift apart during a lease.
+	// ClockError is the most by which two clocks may drift apart during a lease.
 	ClockError time.Duration
-	// LossTime is how long all members of a replicated shard must be gone before its state counts as lost.
+	// LossTime is how long all members of a replicated shard must be gone before its state is given up as lost.
 	LossTime time.Duration
 }
 
-// Assigner decides on the leading control instance which members hold which shards.
+// Assigner decides which members hold which shards. The leading control instance has one per term, on the control thread.
+// It only proposes assignments: the caller puts them through the control log, which applies them to the map.
 type Assigner struct {
-	config AssignerConfig
-	shards *Map
-	hosts  map[MemberID]*Host
-	// leads is when this instance may first take shards away, as leases of an earlier leader have run out by then.
-	leads time.Time
-	// first is when the first host came.
-	first  time.Time
-	barred map[ID]Epoch
-	silent map[ID]map[MemberID]time.Time
+	config      AssignerConfig
+	assignments *Map
+	hosts       map[MemberID]*Host
+	// revokeAfter is the time from which shards may be taken from a primary, as all leases of earlier leaders are over.
+	revokeAfter time.Time
+	// firstHostAt is when the first host asked for a lease, zero before.
+	firstHostAt time.Time
+	// replacedEpochs holds, for each shard whose primary is being replaced, the epoch on which leases are refused.
+	replacedEpochs map[ID]Epoch
+	// unreachableAt holds when a shard's primary last reported a follower unreachable.
+	unreachableAt map[ID]map[MemberID]time.Time
 }
 
-// NewAssigner returns an assigner over the map that the control log drives; it takes nothing away before the given time.
-func NewAssigner(c AssignerConfig, m *Map, leads time.Time) *Assigner {
+// NewAssigner returns an assigner over the map that the control log drives. It changes no existing assignment on its own
+// before revokeAfter, by when the leases that earlier leaders granted must have expired.
+func NewAssigner(c AssignerConfig, m *Map, revokeAfter time.Time) *Assigner {
 	return &Assigner{
-		config: c,
-		shards: m,
-		hosts:  map[MemberID]*Host{},
-		leads:  leads,
-		barred: map[ID]Epoch{},
-		silent: map[ID]map[MemberID]time.Time{},
+		config:         c,
+		assignments:    m,
+		hosts:          map[MemberID]*Host{},
+		revokeAfter:    revokeAfter,
+		replacedEpochs: map[ID]Epoch{},
+		unreachableAt:  map[ID]map[MemberID]time.Time{},
 	}
 }
 
-// Renew grants a host its control lease on the assignments that are returned.
+// Renew renews a host's control lease and returns the assignments that the lease covers. A leaving host loses its lease,
+// so that its shards are reassigned.
 func (s *Assigner) Renew(c HostConfig, now time.Time) []*Assignment {
-	h := &Host{config: c, leased: now}
+	h := &Host{config: c, leasedAt: now}
 	if c.Leaving {
-		h.leased = time.Time{}
+		h.leasedAt = time.Time{}
 	}
 	s.hosts[c.Member] = h
-	if s.first.IsZero() {
-		s.first = now
+	if s.firstHostAt.IsZero() {
+		s.firstHostAt = now
 	}
 	var held []*Assignment
-	for _, a := range s.shards.All() {
-		if a.Includes(c.Member) && !s.isBarred(a) {
+	for _, a := range s.assignments.All() {
+		if a.Includes(c.Member) && !s.isReplaced(a) {
 			held = append(held, a)
 		}
 	}
 	return held
 }
 
-// isBarred reports whether a decision to replace the assignment was made, so that nobody's lease on it may be renewed.
-func (s *Assigner) isBarred(a *Assignment) bool { return s.barred[a.Shard()] >= a.Epoch() }
+// isReplaced reports whether a successor of the assignment with another primary has been proposed. From then on no
+// lease on it is renewed, as the proposal may still be applied.
+func (s *Assigner) isReplaced(a *Assignment) bool { return s.replacedEpochs[a.Shard()] >= a.Epoch() }
 
-// Report books what a primary says of its followers in an epoch and returns the next assignment that it calls for, or nil.
-func (s *Assigner) Report(from MemberID, id ID, e Epoch, synced, silent []MemberID, now time.Time) *Assignment {
-	a, ok := s.shards.Assignment(id)
-	if !ok || a.Epoch() != e || a.Primary() != from || s.isBarred(a) {
+// Report handles a primary's report on its followers in an epoch: synced ones become backups and unreachable ones are
+// removed. It returns the assignment to propose, or nil if nothing changes or the report is out of date.
+func (s *Assigner) Report(from MemberID, id ID, e Epoch, synced, unreachable []MemberID, now time.Time) *Assignment {
+	a, ok := s.assignments.Assignment(id)
+	if !ok || a.Epoch() != e || a.Primary() != from || s.isReplaced(a) {
 		return nil
 	}
-	for _, m := range silent {
-		s.avoid(id, m, now)
+	for _, m := range unreachable {
+		s.markUnreachable(id, m, now)
 	}
 	c := a.Config()
 	c.Epoch++
@@ -89,7 +97,7 @@
 			c.Backups = append(c.Backups, m)
 		}
 	}
-	for _, m := range silent {
+	for _, m := range unreachable {
 		c.Joining = without(c.Joining, m)
 		c.Backups = without(c.Backups, m)
 	}
@@ -99,75 +107,79 @@
 	return NewAssignment(c)
 }
 
-func (s *Assigner) avoid(id ID, m MemberID, now time.Time) {
-	if s.silent[id] == nil {
-		s.silent[id] = map[MemberID]time.Time{}
+// markUnreachable keeps a member out of a shard for unreachableBackoff.
+func (s *Assigner) markUnreachable(id ID, m MemberID, now time.Time) {
+	if s.unreachableAt[id] == nil {
+		s.unreachableAt[id] = map[MemberID]time.Time{}
 	}
-	s.silent[id][m] = now
+	s.unreachableAt[id][m] = now
 }
 
-// Decide returns the assignments that should follow the present ones.
+// Decide returns the assignments to propose: for new shards, for shards whose primary is gone, and for shards that lack
+// backups. It is called at regular intervals, and decides again if a proposal was lost.
 func (s *Assigner) Decide(now time.Time) []*Assignment {
 	var next []*Assignment
-	load := s.load()
+	load := s.partsPerMember()
 	for n := range s.config.Shards {
-		if a := s.decide(ID(n), load, now); a != nil {
+		if a := s.decideShard(ID(n), load, now); a != nil {
 			next = append(next, a)
 		}
 	}
-	s.prune(now)
+	s.dropExpired(now)
 	return next
 }
 
-func (s *Assigner) decide(id ID, load map[MemberID]int, now time.Time) *Assignment {
-	a, ok := s.shards.Assignment(id)
+// decideShard returns the assignment to propose for a shard, or nil to keep the current one.
+func (s *Assigner) decideShard(id ID, load map[MemberID]int, now time.Time) *Assignment {
+	a, ok := s.assignments.Assignment(id)
 	if !ok {
-		return s.found(id, load, now)
+		return s.createShard(id, load, now)
 	}
-	if now.Before(s.leads) {
+	if now.Before(s.revokeAfter) {
 		return nil
 	}
-	if s.alive(a.Primary(), now) && !s.isBarred(a) {
-		return s.repair(a, load, now)
+	if s.isAlive(a.Primary(), now) && !s.isReplaced(a) {
+		return s.replaceBackups(a, load, now)
 	}
-	next := s.replace(a, load, now)
+	next := s.replacePrimary(a, load, now)
 	if next != nil {
-		s.barred[id] = a.Epoch()
+		s.replacedEpochs[id] = a.Epoch()
 	}
 	return next
 }
 
-// found starts a shard that never had an assignment, once the first hosts had time to come.
-func (s *Assigner) found(id ID, load map[MemberID]int, now time.Time) *Assignment {
-	if s.first.IsZero() || now.Sub(s.first) < foundingTime {
+// createShard returns the first assignment of a shard, or nil until initialPlacementDelay is over.
+func (s *Assigner) createShard(id ID, load map[MemberID]int, now time.Time) *Assignment {
+	if s.firstHostAt.IsZero() || now.Sub(s.firstHostAt) < initialPlacementDelay {
 		return nil
 	}
-	return s.originate(id, 0, load, now)
+	return s.assignEmptyState(id, 0, load, now)
 }
 
-// replace gives a shard whose primary is gone a new one.
-func (s *Assigner) replace(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
+// replacePrimary returns an assignment with a new primary for a shard whose primary is gone, or nil if there is none yet.
+// The state of a replicated shard is given up only after all its members have been gone for LossTime.
+func (s *Assigner) replacePrimary(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
 	if !s.config.Replicated(a.Shard()) {
-		return s.originate(a.Shard(), a.Epoch(), load, now)
+		return s.assignEmptyState(a.Shard(), a.Epoch(), load, now)
 	}
-	if next := s.succeed(a, load, now); next != nil {
+	if next := s.promoteBackup(a, load, now); next != nil {
 		return next
 	}
 	if s.goneFor(a, now) < s.config.LossTime {
 		return nil
 	}
-	return s.originate(a.Shard(), a.Epoch(), load, now)
+	return s.assignEmptyState(a.Shard(), a.Epoch(), load, now)
 }
 
-// originate starts the state of a shard anew.
-func (s *Assigner) originate(id ID, after Epoch, load map[MemberID]int, now time.Time) *Assignment {
-	primary, ok := s.place(id, nil, load, now)
+// assignEmptyState returns an assignment in which the shard's state starts empty, or nil if no host is eligible.
+func (s *Assigner) assignEmptyState(id ID, previous Epoch, load map[MemberID]int, now time.Time) *Assignment {
+	primary, ok := s.pickHost(id, nil, load, now)
 	if !ok {
 		return nil
 	}
-	c := AssignmentConfig{Shard: id, Epoch: after + 1, Stream: after + 1, Origin: after + 1, Primary: primary}
+	c := AssignmentConfig{Shard: id, Epoch: previous + 1, Stream: previous + 1, Origin: previous + 1, Primary: primary}
 	for s.config.Replicated(id) && len(c.Backups) < s.config.Backups {
-		m, ok := s.place(id, append(c.Backups, primary), load, now)
+		m, ok := s.pickHost(id, append(c.Backups, primary), load, now)
 		if !ok {
 			break
 		}
@@ -176,10 +188,11 @@
 	return NewAssignment(c)
 }
 
-// succeed makes a backup the primary, without the members that are gone.
-func (s *Assigner) succeed(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
+// promoteBackup returns an assignment in which the first backup that is alive is the primary, with new joining members
+// in place of those that are gone. It returns nil if no backup is alive.
+func (s *Assigner) promoteBackup(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
 	c := a.Config()
-	c.Backups = s.living(c.Backups, now)
+	c.Backups = s.filterAlive(c.Backups, now)
 	c.Joining = nil
 	if len(c.Backups) == 0 {
 		return nil
@@ -188,32 +201,33 @@
 	c.Stream = c.Epoch
 	c.Primary = c.Backups[0]
 	c.Backups = c.Backups[1:]
-	c.Joining = s.recruit(c, load, now)
+	c.Joining = s.pickJoining(c, load, now)
 	return NewAssignment(c)
 }
 
-// repair replaces backups that are gone while the primary stays.
-func (s *Assigner) repair(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
+// replaceBackups returns an assignment in which the primary stays and new joining members replace the followers that are
+// gone. It returns nil if nothing changes.
+func (s *Assigner) replaceBackups(a *Assignment, load map[MemberID]int, now time.Time) *Assignment {
 	if !s.config.Replicated(a.Shard()) {
 		return nil
 	}
 	c := a.Config()
 	c.Epoch++
-	c.Backups = s.living(c.Backups, now)
-	c.Joining = s.living(c.Joining, now)
-	c.Joining = append(c.Joining, s.recruit(c, load, now)...)
+	c.Backups = s.filterAlive(c.Backups, now)
+	c.Joining = s.filterAlive(c.Joining, now)
+	c.Joining = append(c.Joining, s.pickJoining(c, load, now)...)
 	if slices.Equal(c.Backups, a.Backups()) && slices.Equal(c.Joining, a.Joining()) {
 		return nil
 	}
 	return NewAssignment(c)
 }
 
-// recruit returns new members so that the shard will have all its backups.
-func (s *Assigner) recruit(c AssignmentConfig, load map[MemberID]int, now time.Time) []MemberID {
+// pickJoining returns the hosts that have to join the shard so that it reaches its number of backups. There may be fewer.
+func (s *Assigner) pickJoining(c AssignmentConfig, load map[MemberID]int, now time.Time) []MemberID {
 	var joining []MemberID
 	taken := slices.Concat([]MemberID{c.Primary}, c.Backups, c.Joining)
 	for len(taken) <= s.config.Backups {
-		m, ok := s.place(c.Shard, taken, load, now)
+		m, ok := s.pickHost(c.Shard, taken, load, now)
 		if !ok {
 			break
 		}
@@ -223,67 +237,70 @@
 	return joining
 }
 
-func (s *Assigner) living(members []MemberID, now time.Time) []MemberID {
+// filterAlive returns the members that are alive, in the same order.
+func (s *Assigner) filterAlive(members []MemberID, now time.Time) []MemberID {
 	var alive []MemberID
 	for _, m := range members {
-		if s.alive(m, now) {
+		if s.isAlive(m, now) {
 			alive = append(alive, m)
 		}
 	}
 	return alive
 }
 
-// alive reports whether a host may still hold a control lease.
-func (s *Assigner) alive(m MemberID, now time.Time) bool {
+// isAlive reports whether a host may still hold a control lease, with ClockError as a margin.
+func (s *Assigner) isAlive(m MemberID, now time.Time) bool {
 	h, ok := s.hosts[m]
-	return ok && !h.leased.IsZero() && now.Before(h.leased.Add(s.config.LeaseTime+s.config.ClockError))
+	return ok && !h.leasedAt.IsZero() && now.Before(h.leasedAt.Add(s.config.LeaseTime+s.config.ClockError))
 }
 
-// goneFor returns how long all members of an assignment have been gone.
+// goneFor returns how long the primary and all backups have been without a lease, counted from revokeAfter at the
+// earliest. Members that are leaving or unknown count as gone since then.
 func (s *Assigner) goneFor(a *Assignment, now time.Time) time.Duration {
-	gone := now.Sub(s.leads)
+	gone := now.Sub(s.revokeAfter)
 	for _, m := range append([]MemberID{a.Primary()}, a.Backups()...) {
 		if h, ok := s.hosts[m]; ok && !h.config.Leaving {
-			gone = min(gone, now.Sub(h.leased)-s.config.LeaseTime)
+			gone = min(gone, now.Sub(h.leasedAt)-s.config.LeaseTime)
 		}
 	}
 	return gone
 }
 
-// Hosts returns the number of hosts that may hold a control lease.
+// Hosts returns the number of hosts that may hold a control lease. It is published as a metric.
 func (s *Assigner) Hosts(now time.Time) int {
 	n := 0
 	for m := range s.hosts {
-		if s.alive(m, now) {
+		if s.isAlive(m, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Idle returns the number of shards that nobody may act for.
+// Idle returns the number of shards without a primary that may act. It is published as a metric.
 func (s *Assigner) Idle(now time.Time) int {
 	n := 0
 	for id := range s.config.Shards {
-		if a, ok := s.shards.Assignment(ID(id)); !ok || s.isBarred(a) || !s.alive(a.Primary(), now) {
+		if a, ok := s.assignments.Assignment(ID(id)); !ok || s.isReplaced(a) || !s.isAlive(a.Primary(), now) {
 			n++
 		}
 	}
 	return n
 }
 
-// prune forgets hosts that have been gone for long and followers that were silent long ago.
-func (s *Assigner) prune(now time.Time) {
-	for _, members := range s.silent {
-		maps.DeleteFunc(members, func(_ MemberID, since time.Time) bool { return now.Sub(since) >= silenceTime })
+// dropExpired deletes hosts that have been gone for long, and reports of unreachable followers that have expired.
+func (s *Assigner) dropExpired(now time.Time) {
+	for _, members := range s.unreachableAt {
+		maps.DeleteFunc(members, func(_ MemberID, since time.Time) bool { return now.Sub(since) >= unreachableBackoff })
 	}
 	for m, h := range s.hosts {
-		if now.Sub(h.leased) > s.config.LossTime+2*s.config.LeaseTime {
+		if now.Sub(h.leasedAt) > s.config.LossTime+2*s.config.LeaseTime {
 			delete(s.hosts, m)
 		}
 	}
 }
 
+// without returns a copy of the members without m.
 func without(members []MemberID, m MemberID) []MemberID {
 	return slices.DeleteFunc(slices.Clone(members), func(o MemberID) bool { return o == m })
 }
--- a/internal/policy/shard/layout.go
+++ b/internal/policy/shard/layout.go
@@ -7,21 +7,21 @@
 	"github.com/figpier/figpier/internal/policy/claim"
 )
 
-// Numbers of shards, which all processes of a fleet must agree on.
+// Numbers of shards. All processes of a fleet must use the same numbers.
 const (
-	// limitShards hold the buckets of customers; their state starts anew with each primary.
+	// limitShards is the number of shards for the token buckets of customers. Their state starts empty with each primary.
 	limitShards = 64
-	// claimShards hold the claims of non-idempotent requests and have backups.
+	// claimShards is the number of shards for the claims of non-idempotent requests, which have backups.
 	claimShards = 64
 )
 
-// Count is the number of all shards.
+// Count is the total number of shards. The IDs below limitShards are those of limits, the rest those of claims.
 const Count = limitShards + claimShards
 
-// Replicated reports whether a shard has backups.
+// Replicated reports whether the state of a shard is kept on backups, which holds for claims but not for limits.
 func Replicated(s ID) bool { return s >= limitShards }
 
-// OfLimit returns the shard of a customer's bucket at a service.
+// OfLimit returns the shard that holds a customer's token bucket for a service.
 func OfLimit(c figpier.CustomerID, s figpier.UpstreamService) ID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(s))
@@ -30,7 +30,7 @@
 	return ID(h.Sum32() % limitShards)
 }
 
-// OfClaim returns the shard of a claim.
+// OfClaim returns the shard that holds the claim with the given key.
 func OfClaim(k claim.Key) ID {
 	n := uint32(k[0])<<24 | uint32(k[1])<<16 | uint32(k[2])<<8 | uint32(k[3])
 	return limitShards + ID(n%claimShards)
--- a/internal/policy/shard/message.go
+++ b/internal/policy/shard/message.go
@@ -1,37 +1,38 @@
 package shard
 
-// MessageConfig is what a primary sends to a follower: one write, or the whole state.
+// MessageConfig describes a message from a primary to a follower, with one write or the whole state.
 type MessageConfig struct {
-	// Shard is the shard.
+	// Shard identifies the shard.
 	Shard ID
-	// Epoch is the epoch of the primary.
+	// Epoch is the epoch in which the primary sent the message.
 	Epoch Epoch
-	// Stream is the epoch in which the primary took over.
+	// Stream is the epoch in which the primary took over, see Assignment.Stream.
 	Stream Epoch
-	// Origin is the epoch in which the state began.
+	// Origin is the epoch in which the state started empty, see Assignment.Origin.
 	Origin Epoch
-	// Sequence is the number of the write, or of the last write that the state includes.
+	// Sequence is the number of the write, or of the last write that the whole state includes.
 	Sequence uint64
-	// Whole says that the message carries the whole state.
+	// Whole says that the message carries the whole state, which the caller adds.
 	Whole bool
-	// Payload is the write.
+	// Payload is the encoded write, nil if Whole is set.
 	Payload []byte
 }
 
-// AnswerConfig is a follower's answer.
+// AnswerConfig describes a follower's answer, which reports its position after the message.
 type AnswerConfig struct {
-	// Epoch is the highest epoch that the follower has heard of.
+	// Epoch is the highest epoch that the follower has seen.
 	Epoch Epoch
 	// Stream is the stream that the follower's state belongs to.
 	Stream Epoch
-	// Sequence is the last write that the follower has of the stream.
+	// Sequence is the number of the last write in the stream that the follower has.
 	Sequence uint64
 }
 
-// Next returns the message that a follower needs next.
+// Next returns the next message for a follower: the whole state first, then the writes in order. It returns false if the
+// follower has all writes or this member is not the primary.
 func (r *Replica) Next(m MemberID) (MessageConfig, bool) {
 	f := r.followers[m]
-	if f == nil || !r.leads() {
+	if f == nil || !r.isPrimary() {
 		return MessageConfig{}, false
 	}
 	c := MessageConfig{
@@ -40,13 +41,13 @@
 		Stream:   r.stream,
 		Origin:   r.origin,
 		Sequence: r.sequence,
-		Whole:    !f.received,
+		Whole:    !f.hasState,
 	}
 	if c.Whole {
 		return c, true
 	}
-	for _, w := range r.log {
-		if w.sequence == f.acked+1 {
+	for _, w := range r.pendingWrites {
+		if w.sequence == f.ackedSequence+1 {
 			c.Sequence = w.sequence
 			c.Payload = w.payload
 			return c, true
@@ -55,11 +56,12 @@
 	return MessageConfig{}, false
 }
 
-// Answered books a follower's answer to a message of the given epoch.
+// Answered records a follower's answer to a message that was sent in the given epoch. An answer with a higher epoch means
+// that another primary may exist, so this member steps down.
 func (r *Replica) Answered(m MemberID, sent Epoch, a AnswerConfig) {
 	if a.Epoch > r.epoch {
 		r.epoch = a.Epoch
-		r.stopLeading()
+		r.stepDown()
 		return
 	}
 	f := r.followers[m]
@@ -67,23 +69,24 @@
 		return
 	}
 	if a.Stream != r.stream {
-		f.received = false
+		f.hasState = false
 		return
 	}
-	f.received = true
-	f.acked = max(f.acked, a.Sequence)
-	f.counted = f.counted || f.acked >= r.done
-	r.settle()
+	f.hasState = true
+	f.ackedSequence = max(f.ackedSequence, a.Sequence)
+	f.synced = f.synced || f.ackedSequence >= r.doneSequence
+	r.advanceDone()
 }
 
-// Receive decides on a primary's message: when apply is true, the caller applies the write or replaces its whole state.
+// Receive handles a primary's message and returns the answer to send. If apply is true, the caller must first apply the
+// write, or replace its whole state. Messages of an older epoch, and writes out of order, are not applied.
 func (r *Replica) Receive(c MessageConfig) (answer AnswerConfig, apply bool) {
-	if c.Epoch < r.epoch || c.Epoch == r.epoch && r.leads() {
-		return r.answer(), false
+	if c.Epoch < r.epoch || c.Epoch == r.epoch && r.isPrimary() {
+		return r.currentAnswer(), false
 	}
 	if c.Epoch > r.epoch {
 		r.epoch = c.Epoch
-		r.stopLeading()
+		r.stepDown()
 	}
 	if c.Whole {
 		apply = r.stream != c.Stream || r.sequence < c.Sequence
@@ -95,9 +98,10 @@
 		r.origin = c.Origin
 		r.sequence = c.Sequence
 	}
-	return r.answer(), apply
+	return r.currentAnswer(), apply
 }
 
-func (r *Replica) answer() AnswerConfig {
+// currentAnswer returns the answer that reports the present position of this member.
+func (r *Replica) currentAnswer() AnswerConfig {
 	return AnswerConfig{Epoch: r.epoch, Stream: r.stream, Sequence: r.sequence}
 }
--- a/internal/policy/shard/replica.go
+++ b/internal/policy/shard/replica.go
@@ -6,70 +6,82 @@
 	"time"
 )
 
-// Replica is one member's part in one shard.
+// Replica is the replication state of one member in one shard. The shard's state itself belongs to the caller, who also
+// guards the replica with a lock.
 type Replica struct {
-	self       MemberID
+	self MemberID
+	// assignment is the newest assignment received, nil for none. Its epoch may be behind epoch.
 	assignment *Assignment
-	epoch      Epoch
-	stream     Epoch
-	origin     Epoch
-	sequence   uint64
+	// epoch is the highest epoch seen in an assignment, a message or an answer.
+	epoch Epoch
+	// stream and sequence identify the last write that the state includes.
+	stream   Epoch
+	origin   Epoch
+	sequence uint64
 
+	// leaseEpoch is the epoch that the control lease covers, 0 for no lease.
 	leaseEpoch Epoch
 	leaseUntil time.Time
-	followers  map[MemberID]*follower
-	log        []write
-	done       uint64
+	// The rest is used by a primary only.
+	followers     map[MemberID]*follower
+	pendingWrites []write
+	// doneSequence is the number of the last write that is done.
+	doneSequence uint64
 }
 
 // follower is what the primary knows of a backup or joining member.
 type follower struct {
-	acked    uint64
-	received bool
-	counted  bool
+	// ackedSequence is the last write that the follower has acknowledged.
+	ackedSequence uint64
+	// hasState says that the follower has the whole state of the stream, so that it needs single writes only.
+	hasState bool
+	// synced says that writes are done only once the follower has them. It is set for backups, and for joining members
+	// that have caught up.
+	synced bool
 }
 
-// write is one change that some follower may not have yet.
+// write is a numbered change that some follower may not have yet.
 type write struct {
 	sequence uint64
 	payload  []byte
 }
 
-// Change says what a new assignment means for the state of the shard.
+// Change says what a new assignment means for the state of the shard, which belongs to the caller.
 type Change uint8
 
-// Changes.
+// Changes that Assign returns.
 const (
-	// ChangeNone keeps the state and the role.
+	// ChangeNone keeps the state.
 	ChangeNone Change = iota
-	// ChangeTakeOver makes this member the primary of the state that it has.
+	// ChangeTakeOver keeps the state, whose primary this member becomes.
 	ChangeTakeOver
-	// ChangeStart starts an empty state that nothing came before.
+	// ChangeStart requires the caller to start an empty state, in a shard that never had one.
 	ChangeStart
-	// ChangeStartAfterLoss starts an empty state in place of one that was lost.
+	// ChangeStartAfterLoss requires the caller to start an empty state in place of one that was lost.
 	ChangeStartAfterLoss
-	// ChangeLeave ends this member's part.
+	// ChangeLeave means that this member no longer has a part in the shard.
 	ChangeLeave
 )
 
-// NewReplica returns a replica without a part in the shard.
+// NewReplica returns the replica of a member that has no part in the shard yet.
 func NewReplica(self MemberID) *Replica {
 	return &Replica{self: self, followers: map[MemberID]*follower{}}
 }
 
-// Epoch returns the highest epoch that this member has heard of.
+// Epoch returns the highest epoch that this member has seen, which may be newer than that of its assignment.
 func (r *Replica) Epoch() Epoch { return r.epoch }
 
-// Assignment returns the newest assignment that this member was given, nil when it has none.
+// Assignment returns the newest assignment that this member has received, or nil.
 func (r *Replica) Assignment() *Assignment { return r.assignment }
 
 // Position returns the stream that the state belongs to and the number of the last write in it.
 func (r *Replica) Position() (stream Epoch, sequence uint64) { return r.stream, r.sequence }
 
-// Done returns the number of the last write that every counted follower has.
-func (r *Replica) Done() uint64 { return r.done }
+// Done returns the number of the last write that is done: every backup and every synced joining member has it.
+func (r *Replica) Done() uint64 { return r.doneSequence }
 
-// Assign takes a newer assignment and says what it means.
+// Assign adopts an assignment and returns what it means for the state. It ignores one that is not newer
+// than the current assignment, or is older than the highest epoch seen.
 func (r *Replica) Assign(a *Assignment) Change {
 	if a.Epoch() < r.epoch || r.assignment != nil && a.Epoch() <= r.assignment.Epoch() {
 		return ChangeNone
@@ -77,21 +89,22 @@
 	r.assignment = a
 	r.epoch = a.Epoch()
 	if a.Primary() != r.self {
-		r.stopLeading()
+		r.stepDown()
 	}
 	if !a.Includes(r.self) {
 		r.origin = 0
 		return ChangeLeave
 	}
-	change := r.begin(a)
+	change := r.resetForOrigin(a)
 	if a.Primary() == r.self {
-		change = r.lead(a, change)
+		change = r.becomePrimary(a, change)
 	}
 	return change
 }
 
-// begin starts an empty state when this member is told of an origin that it has no state of.
-func (r *Replica) begin(a *Assignment) Change {
+// resetForOrigin resets the position if the assignment has another origin than the state of this member. A joining
+// member keeps its position, since it receives the state from the primary.
+func (r *Replica) resetForOrigin(a *Assignment) Change {
 	if a.Origin() == r.origin || slices.Contains(a.Joining(), r.self) {
 		return ChangeNone
 	}
@@ -104,24 +117,24 @@
 	return ChangeStartAfterLoss
 }
 
-// lead keeps the numbering of a stream that this member leads already, or starts a new stream.
-func (r *Replica) lead(a *Assignment, change Change) Change {
+// becomePrimary starts a new stream, with writes numbered from 1, unless this member already leads the stream.
+func (r *Replica) becomePrimary(a *Assignment, change Change) Change {
 	if r.stream != a.Stream() {
 		r.stream = a.Stream()
 		r.sequence = 0
-		r.done = 0
-		r.log = nil
+		r.doneSequence = 0
+		r.pendingWrites = nil
 		r.followers = map[MemberID]*follower{}
 		if change == ChangeNone {
 			change = ChangeTakeOver
 		}
 	}
-	r.follow(a)
+	r.updateFollowers(a)
 	return change
 }
 
-// follow adjusts the followers to the assignment.
-func (r *Replica) follow(a *Assignment) {
+// updateFollowers adds and removes followers according to the assignment.
+func (r *Replica) updateFollowers(a *Assignment) {
 	maps.DeleteFunc(r.followers, func(m MemberID, _ *follower) bool { return !a.Includes(m) })
 	for _, m := range a.Joining() {
 		if _, ok := r.followers[m]; !ok {
@@ -132,22 +145,25 @@
 		if _, ok := r.followers[m]; !ok {
 			r.followers[m] = &follower{}
 		}
-		r.followers[m].counted = true
+		r.followers[m].synced = true
 	}
-	r.settle()
+	r.advanceDone()
 }
 
-func (r *Replica) leads() bool {
+// isPrimary reports whether this member is the primary in the highest epoch that it has seen.
+func (r *Replica) isPrimary() bool {
 	return r.assignment != nil && r.assignment.Primary() == r.self && r.assignment.Epoch() == r.epoch
 }
 
-func (r *Replica) stopLeading() {
+// stepDown drops the control lease and what only a primary keeps.
+func (r *Replica) stepDown() {
 	r.followers = map[MemberID]*follower{}
-	r.log = nil
+	r.pendingWrites = nil
 	r.leaseEpoch = 0
 }
 
-// Leased extends the control lease of an epoch to a time that was counted from when the renewal was sent.
+// Leased records a control lease on an epoch. The caller computes until from the time at which it sent the renewal, not
+// from that of the answer, so that the lease expires here before it does at the control instance.
 func (r *Replica) Leased(e Epoch, until time.Time) {
 	if e < r.leaseEpoch {
 		return
@@ -162,61 +178,63 @@
 	}
 }
 
-// MayAct reports whether this member acts for the shard.
+// MayAct reports whether this member may act for the shard: it is the primary and its control lease has not expired.
 func (r *Replica) MayAct(now time.Time) bool {
-	return r.leads() && r.leaseEpoch == r.epoch && now.Before(r.leaseUntil)
+	return r.isPrimary() && r.leaseEpoch == r.epoch && now.Before(r.leaseUntil)
 }
 
-// Release gives the control lease up.
+// Release gives up the control lease, so that MayAct is false until the next one.
 func (r *Replica) Release() { r.leaseEpoch = 0 }
 
-// Write numbers a change; its effects must wait until Done reaches the number.
+// Write adds a change to be sent to the followers and returns its number. The caller must hold back the answer to the
+// change until Done has reached that number.
 func (r *Replica) Write(payload []byte) uint64 {
 	r.sequence++
-	r.log = append(r.log, write{sequence: r.sequence, payload: payload})
-	r.settle()
+	r.pendingWrites = append(r.pendingWrites, write{sequence: r.sequence, payload: payload})
+	r.advanceDone()
 	return r.sequence
 }
 
-// Followers returns the members that this primary sends writes to, in order.
+// Followers returns the members that this primary sends writes to, in ascending order, empty on other members.
 func (r *Replica) Followers() []MemberID { return slices.Sorted(maps.Keys(r.followers)) }
 
-// Synced returns the joining members that have the whole state and take part in every write.
+// Synced returns the joining members that have caught up and can become backups, nil if this member is not the primary.
 func (r *Replica) Synced() []MemberID {
 	var synced []MemberID
-	if !r.leads() {
+	if !r.isPrimary() {
 		return nil
 	}
 	for _, m := range r.assignment.Joining() {
-		if f := r.followers[m]; f != nil && f.counted {
+		if f := r.followers[m]; f != nil && f.synced {
 			synced = append(synced, m)
 		}
 	}
 	return synced
 }
 
-// settle advances the last write that is done and drops what every follower has.
-func (r *Replica) settle() {
-	done, kept := r.sequence, r.sequence
+// advanceDone advances the last write that is done and drops the pending writes that every follower with the state has.
+func (r *Replica) advanceDone() {
+	done, dropThrough := r.sequence, r.sequence
 	for _, f := range r.followers {
-		if f.counted {
-			done = min(done, f.reached())
+		if f.synced {
+			done = min(done, f.confirmedSequence())
 		}
-		if f.received {
-			kept = min(kept, f.acked)
+		if f.hasState {
+			dropThrough = min(dropThrough, f.ackedSequence)
 		}
 	}
-	r.done = max(r.done, done)
+	r.doneSequence = max(r.doneSequence, done)
 	n := 0
-	for n < len(r.log) && r.log[n].sequence <= kept {
+	for n < len(r.pendingWrites) && r.pendingWrites[n].sequence <= dropThrough {
 		n++
 	}
-	r.log = r.log[n:]
+	r.pendingWrites = r.pendingWrites[n:]
 }
 
-func (f *follower) reached() uint64 {
-	if !f.received {
+// confirmedSequence returns the last write that the follower is known to have, 0 if it lacks the state.
+func (f *follower) confirmedSequence() uint64 {
+	if !f.hasState {
 		return 0
 	}
-	return f.acked
+	return f.ackedSequence
 }
--- a/internal/policy/shard/shard_test.go
+++ b/internal/policy/shard/shard_test.go
@@ -25,67 +25,67 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// host is a process with a replica of each shard.
+// host is a process with a replica of each shard. It handles nothing until frozen, and never again once killed.
 type host struct {
 	id       MemberID
 	killed   bool
 	frozen   time.Time
 	replicas map[ID]*Replica
 	table    *claim.Table
-	waiting  []waiter
+	pending  []pendingAnswer
 }
 
-// waiter is an answer that is held back until its write is done.
-type waiter struct {
+// pendingAnswer is an answer that is held back until its write is done.
+type pendingAnswer struct {
 	stream   Epoch
 	sequence uint64
 	answer   func()
 }
 
-// delivery is a message on its way.
+// delivery is a message in flight, which runs a function on its receiver. A nil receiver is the control instance.
 type delivery struct {
-	at time.Time
-	to *host
-	do func()
+	at  time.Time
+	to  *host
+	run func()
 }
 
-// fleet runs hosts, one assigner and clients over messages that may be late or lost.
+// fleet runs hosts, an assigner and callers over messages that may be delayed or lost.
 type fleet struct {
-	t        *rapid.T
-	r        *rand.Rand
-	now      time.Time
-	hosts    []*host
-	shards   *Map
-	assigner *Assigner
-	term     string
-	terms    int
-	queue    []delivery
-	runs     map[claim.Key]int
-	attempts int
-	granted  int
+	t          *rapid.T
+	random     *rand.Rand
+	now        time.Time
+	hosts      []*host
+	shards     *Map
+	assigner   *Assigner
+	term       string
+	terms      int
+	inFlight   []delivery
+	runsPerKey map[claim.Key]int
+	attempts   int
+	granted    int
 }
 
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
-		t:      t,
-		r:      rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
-		now:    start,
-		shards: NewMap(),
-		runs:   map[claim.Key]int{},
+		t:          t,
+		random:     rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
+		now:        start,
+		shards:     NewMap(),
+		runsPerKey: map[claim.Key]int{},
 	}
-	f.lead()
+	f.startTerm()
 	for range 4 {
-		f.boot()
+		f.startHost()
 	}
 	return f
 }
 
-// lead begins a new leader's term; proposals of earlier leaders may still come.
-func (f *fleet) lead() {
+// startTerm starts the term of a new leader. Proposals of earlier leaders may still arrive.
+func (f *fleet) startTerm() {
 	f.terms++
 	term := fmt.Sprint(f.terms)
 	f.assigner = nil
-	f.queue = append(f.queue, delivery{at: f.now, do: func() {
+	f.inFlight = append(f.inFlight, delivery{at: f.now, run: func() {
 		f.shards.Begin(term)
 		f.term = term
 		f.assigner = NewAssigner(testConfig(), f.shards, f.now.Add(testLeaseTime))
@@ -102,7 +102,7 @@
 	}
 }
 
-func (f *fleet) boot() {
+func (f *fleet) startHost() {
 	h := &host{id: MemberID(fmt.Sprintf("h%d", len(f.hosts)))}
 	h.replicas = map[ID]*Replica{claimShard: NewReplica(h.id), limitShard: NewReplica(h.id)}
 	h.table = newTable(time.Time{})
@@ -113,56 +113,58 @@
 	return claim.New(claim.Config{Retention: testRetention, RunTime: testRetention, Lost: lost})
 }
 
+// send delivers a message after a random delay, or loses it.
 func (f *fleet) send(to *host, do func()) {
-	if f.r.Float64() < 0.02 {
+	if f.random.Float64() < 0.02 {
 		return
 	}
-	delay := time.Duration(f.r.IntN(3)) * testStep
-	if f.r.Float64() < 0.02 {
-		delay = time.Duration(f.r.IntN(60)) * testStep
+	delay := time.Duration(f.random.IntN(3)) * testStep
+	if f.random.Float64() < 0.02 {
+		delay = time.Duration(f.random.IntN(60)) * testStep
 	}
-	f.queue = append(f.queue, delivery{at: f.now.Add(delay), to: to, do: do})
+	f.inFlight = append(f.inFlight, delivery{at: f.now.Add(delay), to: to, run: do})
 }
 
 func (f *fleet) step() {
 	f.now = f.now.Add(testStep)
-	due := f.queue
-	f.queue = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, d := range due {
 		switch {
 		case d.to != nil && d.to.killed:
 		case d.at.After(f.now), d.to != nil && d.to.frozen.After(f.now):
-			f.queue = append(f.queue, d)
+			f.inFlight = append(f.inFlight, d)
 		default:
-			d.do()
+			d.run()
 		}
 	}
-	f.fail()
+	f.injectFault()
 	for _, h := range f.hosts {
 		if !h.killed && !h.frozen.After(f.now) {
-			f.turn(h)
+			f.runHost(h)
 		}
 	}
 	if f.assigner != nil {
 		f.commit(f.assigner.Decide(f.now))
 	}
-	f.client()
-	f.check()
+	f.startAttempt()
+	f.checkInvariants()
 }
 
-func (f *fleet) fail() {
-	h := f.hosts[f.r.IntN(len(f.hosts))]
-	switch n := f.r.IntN(400); {
+// injectFault may freeze one host or the newest four, kill a host, or change the leader.
+func (f *fleet) injectFault() {
+	h := f.hosts[f.random.IntN(len(f.hosts))]
+	switch n := f.random.IntN(400); {
 	case n < 4:
-		h.frozen = f.now.Add(time.Duration(f.r.IntN(100)) * testStep)
+		h.frozen = f.now.Add(time.Duration(f.random.IntN(100)) * testStep)
 	case n == 4 && !h.killed:
 		h.killed = true
-		f.boot()
+		f.startHost()
 	case n < 8:
-		f.lead()
+		f.startTerm()
 	case n == 8:
 		for _, h := range f.hosts[max(0, len(f.hosts)-4):] {
-			h.frozen = f.now.Add(time.Duration(f.r.IntN(100)) * testStep)
+			h.frozen = f.now.Add(time.Duration(f.random.IntN(100)) * testStep)
 		}
 	}
 }
@@ -174,16 +176,16 @@
 	}
 }
 
-// turn renews the control lease, sends writes and releases answers.
-func (f *fleet) turn(h *host) {
-	if f.r.IntN(4) == 0 {
+// runHost renews a host's control lease, sends its writes to the followers and releases the answers that are due.
+func (f *fleet) runHost(h *host) {
+	if f.random.IntN(4) == 0 {
 		f.renew(h)
 	}
 	p := h.replicas[claimShard]
 	for _, m := range p.Followers() {
 		f.replicate(h, p, m)
 	}
-	h.waiting = slices.DeleteFunc(h.waiting, func(w waiter) bool {
+	h.pending = slices.DeleteFunc(h.pending, func(w pendingAnswer) bool {
 		done := p.MayAct(f.now) && p.stream == w.stream && p.Done() >= w.sequence
 		if done {
 			w.answer()
@@ -192,6 +194,7 @@
 	})
 }
 
+// renew sends a lease renewal with the report on joining members, and installs the assignments in the answer.
 func (f *fleet) renew(h *host) {
 	sent := f.now
 	p := h.replicas[claimShard]
@@ -226,8 +229,8 @@
 	}
 }
 
-// entry is a replicated claim.
-type entry struct {
+// replicatedClaim is a claim table entry as the primary sends it to a follower.
+type replicatedClaim struct {
 	key   claim.Key
 	entry claim.Entry
 }
@@ -238,12 +241,12 @@
 		return
 	}
 	to := f.hosts[slices.IndexFunc(f.hosts, func(o *host) bool { return o.id == m })]
-	var state []entry
+	var state []replicatedClaim
 	var lost *claim.Table
 	if c.Whole {
 		lost = h.table
 		h.table.Each(func(k claim.Key, e claim.Entry) bool {
-			state = append(state, entry{k, e})
+			state = append(state, replicatedClaim{k, e})
 			return true
 		})
 	}
@@ -256,9 +259,10 @@
 	})
 }
 
-var payloads = map[string]entry{}
+// payloads holds the claims by the payloads of the writes that stand for them.
+var payloads = map[string]replicatedClaim{}
 
-func (f *fleet) apply(to *host, c MessageConfig, state []entry, from *claim.Table) {
+func (f *fleet) apply(to *host, c MessageConfig, state []replicatedClaim, from *claim.Table) {
 	if !c.Whole {
 		e := payloads[string(c.Payload)]
 		to.table.Put(e.key, e.entry)
@@ -270,53 +274,56 @@
 	}
 }
 
-// client lets a caller attempt one of a few keys at whoever acts as the primary.
-func (f *fleet) client() {
-	h := f.hosts[f.r.IntN(len(f.hosts))]
-	k := claim.NewKey("c", "s", figpier.IdempotencyKey(fmt.Sprint(f.r.IntN(40))))
+// startAttempt sends a random host a claim for one of a few keys and counts a run if the claim is granted. After 20 steps
+// without a run, the attempt is given up and its key freed.
+func (f *fleet) startAttempt() {
+	h := f.hosts[f.random.IntN(len(f.hosts))]
+	k := claim.NewKey("c", "s", figpier.IdempotencyKey(fmt.Sprint(f.random.IntN(40))))
 	f.attempts++
 	a := claim.AttemptID(fmt.Sprint(f.attempts))
-	over := false
+	ended := false
 	f.send(h, func() {
-		f.ask(h, func() bool { v, _ := h.table.Claim(k, a, 0, f.now); return v == claim.VerdictGranted }, k, func() {
+		f.changeClaim(h, func() bool { v, _ := h.table.Claim(k, a, 0, f.now); return v == claim.VerdictGranted }, k, func() {
 			f.send(nil, func() {
-				if !over {
-					over = true
-					f.runs[k]++
+				if !ended {
+					ended = true
+					f.runsPerKey[k]++
 					f.granted++
-					f.finish(k, a, claim.StateFinished)
+					f.finishAttempt(k, a, claim.StateFinished)
 				}
 			})
 		})
 	})
-	f.queue = append(f.queue, delivery{at: f.now.Add(20 * testStep), do: func() {
-		if !over {
-			over = true
-			f.finish(k, a, claim.StateFreed)
+	f.inFlight = append(f.inFlight, delivery{at: f.now.Add(20 * testStep), run: func() {
+		if !ended {
+			ended = true
+			f.finishAttempt(k, a, claim.StateFreed)
 		}
 	}})
 }
 
-func (f *fleet) finish(k claim.Key, a claim.AttemptID, s claim.State) {
+func (f *fleet) finishAttempt(k claim.Key, a claim.AttemptID, s claim.State) {
 	for _, h := range f.hosts {
 		f.send(h, func() {
-			f.ask(h, func() bool { return h.table.Finish(k, a, s, f.now) }, k, func() {})
+			f.changeClaim(h, func() bool { return h.table.Finish(k, a, s, f.now) }, k, func() {})
 		})
 	}
 }
 
-func (f *fleet) ask(h *host, change func() bool, k claim.Key, answer func()) {
+// changeClaim changes the claim table of a primary and holds the answer back until the write is done.
+func (f *fleet) changeClaim(h *host, change func() bool, k claim.Key, answer func()) {
 	p := h.replicas[claimShard]
 	if !p.MayAct(f.now) || !change() {
 		return
 	}
 	e, _ := h.table.Entry(k)
 	payload := fmt.Sprint(len(payloads))
-	payloads[payload] = entry{k, e}
-	h.waiting = append(h.waiting, waiter{stream: p.stream, sequence: p.Write([]byte(payload)), answer: answer})
+	payloads[payload] = replicatedClaim{k, e}
+	h.pending = append(h.pending, pendingAnswer{stream: p.stream, sequence: p.Write([]byte(payload)), answer: answer})
 }
 
-func (f *fleet) check() {
+// checkInvariants fails if two members act for a shard or a request ran more than once.
+func (f *fleet) checkInvariants() {
 	for _, s := range []ID{claimShard, limitShard} {
 		acting := 0
 		for _, h := range f.hosts {
@@ -326,12 +333,12 @@
 		}
 		assert.Assert(f.t, acting <= 1, "%d primaries act for shard %d", acting, s)
 	}
-	for _, n := range f.runs {
+	for _, n := range f.runsPerKey {
 		assert.Assert(f.t, n <= 1, "a request ran %d times", n)
 	}
 }
 
-func TestShardUnderKillsFreezesAndReturns(t *testing.T) {
+func TestRequestsRunAtMostOnceUnderKillsPausesAndLeaderChanges(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		clear(payloads)
@@ -352,7 +359,7 @@
 	for _, h := range []MemberID{"p", "b"} {
 		first.Renew(HostConfig{Member: h}, start)
 	}
-	now := start.Add(foundingTime)
+	now := start.Add(initialPlacementDelay)
 	for _, a := range first.Decide(now) {
 		assert.Assert(t, m.Apply("1", a))
 	}
