--- a/internal/policy/claim/doc.go
+++ b/internal/policy/claim/doc.go
@@ -1,5 +1,5 @@
-// Package claim decides which attempt may run a non-idempotent request, so that it runs at most once.
+// Package claim decides which attempt at a non-idempotent request may run, so that the request runs at most once.
 //
-// A Table holds the claims of one shard. An attempt claims the request's key before it is handed to a backend
-// server and finishes the claim afterwards. Only an attempt that was proven not to have run frees its key.
+// A Table holds the claims of one shard. An attempt claims the key of its request before it is sent to a backend server,
+// and finishes the claim afterwards. The key becomes free again only if the attempt is known not to have run.
 package claim
--- a/internal/policy/claim/seed_test.go
+++ b/internal/policy/claim/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// init makes every run draw the same cases, unless -rapid.seed is given.
+// init fixes the seed of rapid, so that every run without -rapid.seed draws the same cases.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/policy/claim/table.go
+++ b/internal/policy/claim/table.go
@@ -7,10 +7,11 @@
 	"github.com/figpier/figpier"
 )
 
-// Key is a digest of customer, service and idempotency key.
+// Key identifies a request by a digest of its customer, service and idempotency key.
 type Key [sha256.Size]byte
 
-// NewKey returns the key of a request.
+// NewKey returns the key of a request. Customer and service are hashed separately first, so that requests whose parts
+// only concatenate to the same string get different keys.
 func NewKey(c figpier.CustomerID, s figpier.UpstreamService, i figpier.IdempotencyKey) Key {
 	h := sha256.New()
 	for _, part := range []string{string(c), string(s)} {
@@ -21,119 +22,122 @@
 	return Key(h.Sum(nil))
 }
 
-// AttemptID names one attempt at a request for ever.
+// AttemptID identifies one attempt at a request and is never used again.
 type AttemptID string
 
-// State is what is known of a key.
+// State is what is known about the last attempt that claimed a key.
 type State uint8
 
 // States of a key.
 const (
-	// StateRunning means that an attempt may be running.
+	// StateRunning means that the attempt may be running.
 	StateRunning State = iota + 1
-	// StateFinished means that an attempt ran to its end.
+	// StateFinished means that the attempt ran to completion.
 	StateFinished
-	// StateUnknown means that an attempt may have run.
+	// StateUnknown means that the attempt ended without a known outcome and may have run.
 	StateUnknown
-	// StateFreed means that the last attempt was proven not to have run.
+	// StateFreed means that the attempt is known not to have run, so that another one may claim the key.
 	StateFreed
 )
 
-// Verdict answers a claim.
+// Verdict is the answer to a claim. The zero Verdict is none of them.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts on a claim.
 const (
-	// VerdictGranted gives the attempt the right to run.
+	// VerdictGranted allows the attempt to run.
 	VerdictGranted Verdict = iota + 1
-	// VerdictRunning says that another attempt may be running.
+	// VerdictRunning refuses the attempt because another one may be running.
 	VerdictRunning
-	// VerdictAlreadyRun says that another attempt has run.
+	// VerdictAlreadyRun refuses the attempt because another one has run.
 	VerdictAlreadyRun
-	// VerdictUnknown says that another attempt may have run.
+	// VerdictUnknown refuses the attempt because another one may have run.
 	VerdictUnknown
-	// VerdictTooSoon says that the caller retries sooner than its profile allows.
+	// VerdictTooSoon refuses the attempt because the caller retries sooner than its profile allows.
 	VerdictTooSoon
-	// VerdictStale says that the attempt itself was given up before its claim arrived.
+	// VerdictStale refuses the attempt because it has already ended; its claim was delayed or repeated.
 	VerdictStale
 )
 
 // EntryConfig builds an Entry.
 type EntryConfig struct {
-	// State is what is known of the key.
+	// State is what is known about Attempt.
 	State State
-	// Attempt is the last attempt that claimed the key.
+	// Attempt is the last attempt that claimed the key, or that ended before its claim arrived.
 	Attempt AttemptID
-	// Since is when the state began.
+	// Since is when State was set.
 	Since time.Time
 }
 
-// Entry is the record of one key.
+// Entry is the immutable state of one key.
 type Entry struct {
-	config  EntryConfig
-	claimed time.Time
+	config EntryConfig
+	// lastClaimAt is when an attempt last claimed the key, from which the wait of VerdictTooSoon is counted.
+	lastClaimAt time.Time
 }
 
-// NewEntry returns a record, for instance one that came from another replica.
-func NewEntry(c EntryConfig) Entry { return Entry{config: c, claimed: c.Since} }
+// NewEntry returns an entry, new or received from another replica, whose last claim is taken to be at Since.
+func NewEntry(c EntryConfig) Entry { return Entry{config: c, lastClaimAt: c.Since} }
 
-// State returns what is known of the key.
+// State returns what is known about the last attempt.
 func (e Entry) State() State { return e.config.State }
 
-// Attempt returns the last attempt that claimed the key.
+// Attempt returns the last attempt that claimed the key, or that ended before its claim arrived.
 func (e Entry) Attempt() AttemptID { return e.config.Attempt }
 
-// Since returns when the state began.
+// Since returns when the state was set.
 func (e Entry) Since() time.Time { return e.config.Since }
 
 // Config builds a Table.
 type Config struct {
-	// Retention is how long a key is remembered after its last change.
+	// Retention is how long an entry is kept after its last change.
 	Retention time.Duration
-	// RunTime is how long a claim stays running before its outcome counts as unknown.
+	// RunTime is how long an attempt counts as running before its outcome counts as unknown.
 	RunTime time.Duration
-	// Lost is when claims were lost, zero when none were.
+	// Lost is when earlier claims of the shard were lost, zero if none were. A key without an entry is refused until
+	// Retention after that time, as it may have been claimed before the loss.
 	Lost time.Time
 }
 
-// Table holds the claims of one shard.
+// Table holds the claims of one shard. It is not safe for concurrent use.
 type Table struct {
 	config  Config
 	entries map[Key]Entry
-	oldest  []aged
-	head    int
+	// changes are the changes of entries, oldest first; those before firstChange are expired.
+	changes     []keyChange
+	firstChange int
 }
 
-// aged is a key in the order of its last change.
-type aged struct {
+// keyChange records that a key's entry was set at a given time.
+type keyChange struct {
 	key   Key
 	since time.Time
 }
 
-// New returns a table without claims.
+// New returns a table without entries.
 func New(c Config) *Table {
 	return &Table{config: c, entries: map[Key]Entry{}}
 }
 
-// Lost returns when claims were lost, zero when none were.
+// Lost returns when earlier claims of the shard were lost, zero if none were.
 func (t *Table) Lost() time.Time { return t.config.Lost }
 
-// Len returns the number of keys that are remembered.
+// Len returns the number of entries, some of which may be past the retention.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Entry returns the record of a key.
+// Entry returns the entry of a key, and false if there is none.
 func (t *Table) Entry(k Key) (Entry, bool) {
 	e, ok := t.entries[k]
 	return e, ok
 }
 
-// Put sets the record of a key.
+// Put sets the entry of a key. A backup calls it for every write from the primary.
 func (t *Table) Put(k Key, e Entry) {
 	t.entries[k] = e
-	t.oldest = append(t.oldest, aged{key: k, since: e.Since()})
+	t.changes = append(t.changes, keyChange{key: k, since: e.Since()})
 }
 
-// Each calls a function with every record until it returns false.
+// Each calls f with every entry, in no particular order, until f returns false.
 func (t *Table) Each(f func(Key, Entry) bool) {
 	for k, e := range t.entries {
 		if !f(k, e) {
@@ -142,27 +146,28 @@
 	}
 }
 
-// Claim asks for the right to run an attempt and returns, besides the verdict, how long a caller that came too soon has to wait.
-// The table has changed when the verdict is VerdictGranted.
+// Claim claims a key for an attempt. With VerdictTooSoon it also returns how long the caller has to wait, since interval
+// must pass between claims. The caller must replicate the entry before it passes on VerdictGranted.
 func (t *Table) Claim(k Key, a AttemptID, interval time.Duration, now time.Time) (Verdict, time.Duration) {
-	t.expire(now)
+	t.removeExpired(now)
 	e, known := t.entries[k]
 	if !known {
-		return t.claimNew(k, a, now), 0
+		return t.claimNewKey(k, a, now), 0
 	}
 	if e.Attempt() == a {
-		return repeated(e), 0
+		return verdictForRepeat(e), 0
 	}
-	wait := e.claimed.Add(interval).Sub(now)
+	wait := e.lastClaimAt.Add(interval).Sub(now)
 	if wait > 0 {
 		return VerdictTooSoon, wait
 	}
-	e.claimed = now
+	e.lastClaimAt = now
 	t.entries[k] = e
-	return t.next(k, e, a, now), 0
+	return t.claimKnownKey(k, e, a, now), 0
 }
 
-func (t *Table) claimNew(k Key, a AttemptID, now time.Time) Verdict {
+// claimNewKey decides on a key without an entry.
+func (t *Table) claimNewKey(k Key, a AttemptID, now time.Time) Verdict {
 	if t.mayHaveLost(now) {
 		return VerdictUnknown
 	}
@@ -170,8 +175,9 @@
 	return VerdictGranted
 }
 
-// repeated answers a claim that was sent more than once.
-func repeated(e Entry) Verdict {
+// verdictForRepeat decides on a claim of the attempt that already holds the entry, which was sent more than once or
+// arrived after the attempt had ended.
+func verdictForRepeat(e Entry) Verdict {
 	switch e.State() {
 	case StateRunning:
 		return VerdictGranted
@@ -180,8 +186,8 @@
 	}
 }
 
-// next answers another attempt at a key that was claimed before.
-func (t *Table) next(k Key, e Entry, a AttemptID, now time.Time) Verdict {
+// claimKnownKey decides on a key that another attempt claimed before.
+func (t *Table) claimKnownKey(k Key, e Entry, a AttemptID, now time.Time) Verdict {
 	switch e.State() {
 	case StateFinished:
 		return VerdictAlreadyRun
@@ -198,29 +204,30 @@
 	}
 }
 
-// mayHaveLost reports whether a key without a record may have been claimed before a loss.
+// mayHaveLost reports whether a key without an entry may have been claimed before the loss of earlier claims.
 func (t *Table) mayHaveLost(now time.Time) bool {
 	return !t.config.Lost.IsZero() && now.Sub(t.config.Lost) < t.config.Retention
 }
 
-// Finish records how an attempt ended and reports whether the table has changed.
+// Finish records how an attempt ended and reports whether the entry has changed and must be replicated. It ignores an
+// attempt that does not hold the key or has ended already.
 func (t *Table) Finish(k Key, a AttemptID, s State, now time.Time) bool {
-	t.expire(now)
+	t.removeExpired(now)
 	e, known := t.entries[k]
 	if !known {
-		return t.finishUnseen(k, a, s, now)
+		return t.finishUnknownKey(k, a, s, now)
 	}
 	if e.Attempt() != a || e.State() != StateRunning {
 		return false
 	}
 	next := NewEntry(EntryConfig{State: s, Attempt: a, Since: now})
-	next.claimed = e.claimed
+	next.lastClaimAt = e.lastClaimAt
 	t.Put(k, next)
 	return true
 }
 
-// finishUnseen makes sure that the claim of an attempt that was given up can't be granted when it arrives later.
-func (t *Table) finishUnseen(k Key, a AttemptID, s State, now time.Time) bool {
+// finishUnknownKey records the end of an attempt whose claim has not arrived, so that a delayed claim is not granted.
+func (t *Table) finishUnknownKey(k Key, a AttemptID, s State, now time.Time) bool {
 	if s == StateFreed && t.mayHaveLost(now) {
 		return false
 	}
@@ -228,20 +235,21 @@
 	return true
 }
 
-// expire forgets the keys whose last change is older than the retention.
-func (t *Table) expire(now time.Time) {
-	for t.head < len(t.oldest) && now.Sub(t.oldest[t.head].since) >= t.config.Retention {
-		t.forget(t.oldest[t.head])
-		t.head++
+// removeExpired deletes the entries whose last change is older than the retention.
+func (t *Table) removeExpired(now time.Time) {
+	for t.firstChange < len(t.changes) && now.Sub(t.changes[t.firstChange].since) >= t.config.Retention {
+		t.removeUnlessChanged(t.changes[t.firstChange])
+		t.firstChange++
 	}
-	if t.head > len(t.oldest)/2 {
-		t.oldest = append([]aged(nil), t.oldest[t.head:]...)
-		t.head = 0
+	if t.firstChange > len(t.changes)/2 {
+		t.changes = append([]keyChange(nil), t.changes[t.firstChange:]...)
+		t.firstChange = 0
 	}
 }
 
-func (t *Table) forget(g aged) {
-	if e, ok := t.entries[g.key]; ok && e.Since().Equal(g.since) {
-		delete(t.entries, g.key)
+// removeUnlessChanged deletes an entry unless it has been set again since.
+func (t *Table) removeUnlessChanged(c keyChange) {
+	if e, ok := t.entries[c.key]; ok && e.Since().Equal(c.since) {
+		delete(t.entries, c.key)
 	}
 }
--- a/internal/policy/claim/table_test.go
+++ b/internal/policy/claim/table_test.go
@@ -20,7 +20,7 @@
 	return New(Config{Retention: testRetention, RunTime: testRunTime})
 }
 
-func TestSecondAttempt(t *testing.T) {
+func TestVerdictOnSecondAttempt(t *testing.T) {
 	k := NewKey("c", "s", "i")
 	tests := []struct {
 		name  string
@@ -52,7 +52,7 @@
 	return func(b *Table) { b.Finish(NewKey("c", "s", "i"), "first", s, epoch) }
 }
 
-func TestClaimThatMightPredateALossIsUnknown(t *testing.T) {
+func TestClaimThatMayPredateALossIsUnknown(t *testing.T) {
 	b := New(Config{Retention: testRetention, RunTime: testRunTime, Lost: epoch})
 	k := NewKey("c", "s", "i")
 	b.Finish(k, "early", StateFreed, epoch)
@@ -67,8 +67,8 @@
 	assert.Assert(t, NewKey("a", "bc", "d") != NewKey("a", "b", "cd"))
 }
 
-// TestOneAttemptRuns holds the table against an exact count of runs under messages in any order, repeated and lost.
-func TestOneAttemptRuns(t *testing.T) {
+// TestAtMostOneAttemptRuns counts the runs of attempts whose claims and results are reordered, repeated and lost.
+func TestAtMostOneAttemptRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newTable()
 		k := NewKey("c", "s", "i")
@@ -79,8 +79,8 @@
 			a := AttemptID(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "attempt")))
 			if rapid.Bool().Draw(t, "claim") {
 				v, _ := b.Claim(k, a, 0, now)
-				_, given := ended[a]
-				if v == VerdictGranted && !given && !ran[a] && rapid.Bool().Draw(t, "answer arrives") {
+				_, hasEnded := ended[a]
+				if v == VerdictGranted && !hasEnded && !ran[a] && rapid.Bool().Draw(t, "answer arrives") {
 					ran[a] = true
 					runs++
 				}
