--- a/internal/traffic/exit/attempts.go
+++ b/internal/traffic/exit/attempts.go
@@ -12,7 +12,7 @@
 	"github.com/figpier/figpier/internal/wire/codec"
 )
 
-// result is how one attempt ended: an answer that is not read yet, or a refusal.
+// result is the end of one attempt: an answer whose body is still unread, or a refusal.
 type result struct {
 	answer  *http.Response
 	sent    *web.Attempt
@@ -20,19 +20,21 @@
 	outcome figpier.Outcome
 	member  *figpier.Member
 	began   time.Time
-	cutOff  figpier.Rank
+	// cutOff is the cut-off that the member's answer carried, figpier.MaxRank for none.
+	cutOff figpier.Rank
 }
 
-// or returns the result, or one with the refusal of an error when there was no attempt.
-func (a *result) or(err error) *result {
+// orRefusal returns the result, or, where it is nil because no attempt was made, one that refuses with the error.
+func (a *result) orRefusal(err error) *result {
 	if a != nil {
 		return a
 	}
 	return &result{refusal: web.AsRefusal(err)}
 }
 
-// run tries upstreams until the call has an answer or may not be tried again.
-func (h *Handler) run(ctx context.Context, w http.ResponseWriter, r *http.Request, c *figpier.Call, l figpier.LiveCall) {
+// runAttempts attempts the call at one member after another until there is an answer or no further attempt is allowed. The
+// live call takes note of every cut-off met on the way.
+func (h *Handler) runAttempts(ctx context.Context, w http.ResponseWriter, r *http.Request, c *figpier.Call, l figpier.LiveCall) {
 	body, err := web.NewReplay(r.Body, r.ContentLength)
 	if err != nil {
 		h.refuse(w, c, web.AsRefusal(err))
@@ -41,27 +43,27 @@
 	h.judge.First(c)
 	var tried []figpier.InstanceID
 	var last *result
-	ran := false
+	ran := false // whether an attempt may have run
 	for {
 		m, err := h.router.Pick(c, tried)
 		if err != nil {
 			l.NoteCutOff(h.router.CutOff(c.Service()))
-			h.giveUp(w, c, last.or(err), ran)
+			h.giveUp(w, c, last.orRefusal(err), ran)
 			return
 		}
 		last.close()
 		tried = append(tried, m.Instance())
-		a := h.attempt(ctx, r, c, l, m, body)
+		a := h.startAttempt(ctx, r, c, l, m, body)
 		l.NoteCutOff(h.router.CutOff(c.Service()))
 		if a.outcome.Kind() == figpier.OutcomeDone {
 			web.Overlap(w, r, a.sent)
-			h.answer(ctx, w, a)
+			h.streamAnswer(ctx, w, a)
 			return
 		}
-		h.end(a)
+		h.endAttempt(a)
 		l.NoteCutOff(h.router.CutOff(c.Service()))
 		ran = ran || mayHaveRun(a.outcome.Kind())
-		if !h.again(ctx, c, l, a.outcome, body) {
+		if !h.mayRetry(ctx, c, l, a.outcome, body) {
 			h.giveUp(w, c, a, ran)
 			return
 		}
@@ -69,27 +71,28 @@
 	}
 }
 
-func (h *Handler) again(ctx context.Context, c *figpier.Call, l figpier.LiveCall, o figpier.Outcome, b *web.Replay) bool {
+// mayRetry decides whether to make another attempt, and counts and logs the decision.
+func (h *Handler) mayRetry(ctx context.Context, c *figpier.Call, l figpier.LiveCall, o figpier.Outcome, b *web.Replay) bool {
 	switch {
 	case ctx.Err() != nil:
-		h.judged(c, figpier.NoRetryDeadline)
+		h.recordRetryDecision(c, figpier.NoRetryDeadline)
 		return false
 	case b.Spent():
-		h.judged(c, figpier.NoRetryBodyStarted)
+		h.recordRetryDecision(c, figpier.NoRetryBodyStarted)
 		return false
 	}
 	ok, reason := h.judge.Again(c, l, o)
-	h.judged(c, reason)
+	h.recordRetryDecision(c, reason)
 	return ok
 }
 
-func (h *Handler) judged(c *figpier.Call, r figpier.RetryReason) {
+func (h *Handler) recordRetryDecision(c *figpier.Call, r figpier.RetryReason) {
 	h.counters.Retried(r)
 	h.log.Retried(c, r)
 }
 
-// attempt sends the call to one member; the member's turn lasts until end is called.
-func (h *Handler) attempt(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) *result {
+// startAttempt sends the call to one member. The router counts the attempt as open until endAttempt is called.
+func (h *Handler) startAttempt(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) *result {
 	began := h.clock.Now()
 	h.router.Begin(m)
 	a, cutOff := h.send(ctx, r, c, l, m, b)
@@ -99,14 +102,16 @@
 	return a
 }
 
-// end tells the router how an attempt ended.
-func (h *Handler) end(a *result) {
+// endAttempt reports the outcome and the duration of an attempt to the router and the counters.
+func (h *Handler) endAttempt(a *result) {
 	elapsed := h.clock.Now().Sub(a.began)
 	a.outcome = figpier.NewOutcome(a.outcome.Kind(), elapsed)
 	h.router.End(a.member, a.outcome, a.cutOff)
 	h.counters.Observe("exit", elapsed)
 }
 
+// send makes the request to the member with a portion of the live call's retry budget, and gives back what is left of it.
+// After a failure that came once the request had been sent, nothing is given back, as the member may have used it up.
 func (h *Handler) send(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) (*result, figpier.Rank) {
 	portion := h.judge.Portion(l)
 	hop := c.Config()
@@ -114,14 +119,15 @@
 	envelope, err := codec.EncodeEnvelope(figpier.NewCall(hop), h.clock.Now())
 	if err != nil {
 		l.ReturnBudget(portion)
-		return unreached(err), figpier.MaxRank
+		return unreachedResult(err), figpier.MaxRank
 	}
 	out, attempt := web.Outgoing(ctx, r, m.PeerAddress(), b.Body(), b.Length())
 	if h.config.TLS != nil {
 		out.URL.Scheme = "https"
 	}
 	if b.Length() == 0 {
-		// HTTP/2 itself sends a request again only when the other end has said that it did not take it.
+		// With no body, the HTTP/2 transport itself resends a request, but only if the peer stated that it did not process
+		// it.
 		out.Body = http.NoBody
 	}
 	out.Header.Set(figpier.HeaderEnvelope, envelope)
@@ -129,17 +135,18 @@
 	if err != nil {
 		if !attempt.Reached() {
 			l.ReturnBudget(portion)
-			return unreached(err), figpier.MaxRank
+			return unreachedResult(err), figpier.MaxRank
 		}
-		return h.failed(ctx, c, attempt, err), figpier.MaxRank
+		return h.failedResult(ctx, c, attempt, err), figpier.MaxRank
 	}
-	l.ReturnBudget(min(portion, number(answer.Header, figpier.HeaderBudget, 0)))
-	l.NoteCutOff(rankIn(answer.Header, figpier.HeaderTreeCutOff))
-	cutOff := rankIn(answer.Header, figpier.HeaderCutOff)
+	l.ReturnBudget(min(portion, headerNumber(answer.Header, figpier.HeaderBudget, 0)))
+	l.NoteCutOff(headerRank(answer.Header, figpier.HeaderTreeCutOff))
+	cutOff := headerRank(answer.Header, figpier.HeaderCutOff)
 	return &result{answer: answer, sent: attempt, outcome: figpier.NewOutcome(answerKind(answer), 0)}, cutOff
 }
 
-func number(h http.Header, name string, def int) int {
+// headerNumber returns a header's value as a number, or the default where it is missing, malformed or negative.
+func headerNumber(h http.Header, name string, def int) int {
 	n, err := strconv.Atoi(h.Get(name))
 	if err != nil || n < 0 {
 		return def
@@ -147,10 +154,12 @@
 	return n
 }
 
-func rankIn(h http.Header, name string) figpier.Rank {
-	return figpier.Rank(min(number(h, name, int(figpier.MaxRank)), int(figpier.MaxRank)))
+// headerRank returns the rank in a header, figpier.MaxRank where there is none.
+func headerRank(h http.Header, name string) figpier.Rank {
+	return figpier.Rank(min(headerNumber(h, name, int(figpier.MaxRank)), int(figpier.MaxRank)))
 }
 
+// answerKind returns the outcome that an answer's refusal headers state.
 func answerKind(answer *http.Response) figpier.OutcomeKind {
 	reason := figpier.RefusalReason(answer.Header.Get(figpier.HeaderRefusal))
 	switch {
@@ -164,7 +173,8 @@
 	return figpier.OutcomeNotRun
 }
 
-func unreached(err error) *result {
+// unreachedResult returns the result of an attempt whose request was never sent.
+func unreachedResult(err error) *result {
 	return &result{
 		refusal: figpier.NewRefusal(figpier.RefusalConfig{
 			Reason:       figpier.RefusalPeerFailed,
@@ -175,7 +185,8 @@
 	}
 }
 
-func (h *Handler) failed(ctx context.Context, call *figpier.Call, a *web.Attempt, err error) *result {
+// failedResult returns the result of an attempt that got no answer after its request had been sent.
+func (h *Handler) failedResult(ctx context.Context, call *figpier.Call, a *web.Attempt, err error) *result {
 	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, RanSomewhere: true, Detail: err.Error()}
 	kind := figpier.OutcomeFailed
 	switch {
@@ -192,36 +203,38 @@
 	return &result{refusal: figpier.NewRefusal(c), outcome: figpier.NewOutcome(kind, 0)}
 }
 
-// close ends an answer that is not passed on, if there is one.
+// close closes the body of the answer, if there is one.
 func (a *result) close() {
 	if a != nil && a.answer != nil {
 		_ = a.answer.Body.Close()
 	}
 }
 
+// mayHaveRun reports whether an attempt with this outcome may have run the request.
 func mayHaveRun(k figpier.OutcomeKind) bool {
 	return k == figpier.OutcomeFailed || k == figpier.OutcomeExpired || k == figpier.OutcomeCancelled
 }
 
-// final takes the "not run" mark from a refusal when an earlier attempt may have run.
-func final(r *figpier.Refusal, ran bool) *figpier.Refusal {
+// finalRefusal removes the "not run" mark from a refusal if an attempt may have run.
+func finalRefusal(r *figpier.Refusal, ran bool) *figpier.Refusal {
 	if !ran {
 		return r
 	}
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r.Reason(), RanSomewhere: true, RetryAfter: r.RetryAfter()})
 }
 
-// giveUp answers with the refusal of the last attempt.
+// giveUp answers with the refusal of the last attempt. A member's refusal is passed on as it came, unless an attempt may
+// have run.
 func (h *Handler) giveUp(w http.ResponseWriter, c *figpier.Call, a *result, ran bool) {
 	defer a.close()
 	if a.answer == nil {
-		h.refuse(w, c, final(a.refusal, ran))
+		h.refuse(w, c, finalRefusal(a.refusal, ran))
 		return
 	}
 	r := refusalOf(a.answer)
 	if ran {
-		// The answer's body says "not run" as well as its header.
-		h.refuse(w, c, final(r, ran))
+		// The member's answer can't be passed on: its body says "not run" too, not only its header.
+		h.refuse(w, c, finalRefusal(r, ran))
 		return
 	}
 	h.counters.Refused(r.Reason())
@@ -231,26 +244,26 @@
 		w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
 	}
 	if err := web.WriteAnswer(w, a.answer); err != nil {
-		// A broken answer must not look like a short whole one.
+		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refusalOf returns the refusal that another node answered with.
+// refusalOf returns the refusal in the headers of another node's answer.
 func refusalOf(answer *http.Response) *figpier.Refusal {
 	notRun := answer.Header.Get(figpier.HeaderNotRun) == figpier.NotRunMark
 	return figpier.NewRefusal(figpier.RefusalConfig{
 		Reason:       figpier.RefusalReason(answer.Header.Get(figpier.HeaderRefusal)),
 		RanSomewhere: !notRun,
 		ProvenNotRun: notRun,
-		RetryAfter:   time.Duration(number(answer.Header, "Retry-After", 0)) * time.Second,
+		RetryAfter:   time.Duration(headerNumber(answer.Header, "Retry-After", 0)) * time.Second,
 	})
 }
 
-// answer streams an upstream's answer, which counts as failed when it breaks off.
-func (h *Handler) answer(ctx context.Context, w http.ResponseWriter, a *result) {
+// streamAnswer streams a member's answer to the backend server; the attempt counts as failed if the stream breaks off.
+func (h *Handler) streamAnswer(ctx context.Context, w http.ResponseWriter, a *result) {
 	defer a.close()
-	defer h.end(a)
+	defer h.endAttempt(a)
 	defer web.AbortWith(ctx, w)()
 	if err := web.WriteAnswer(w, a.answer); err != nil {
 		kind := figpier.OutcomeFailed
@@ -258,7 +271,7 @@
 			kind = figpier.OutcomeCancelled
 		}
 		a.outcome = figpier.NewOutcome(kind, 0)
-		// A broken answer must not look like a short whole one.
+		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/traffic/exit/doc.go
+++ b/internal/traffic/exit/doc.go
@@ -1,2 +1,2 @@
-// Package exit carries the calls that a backend server makes to the nodes of other services.
+// Package exit serves exit calls: the calls that the backend server beside a node makes to other services through the node.
 package exit
--- a/internal/traffic/exit/handler.go
+++ b/internal/traffic/exit/handler.go
@@ -13,18 +13,19 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// idleTimeout is how long a connection to another node is kept without a call.
+// idleTimeout is how long an idle connection to another node is kept open.
 const idleTimeout = 30 * time.Second
 
-// Config builds a Handler.
+// Config holds the settings of a Handler.
 type Config struct {
-	// TLS secures connections to other nodes, nil for plain HTTP/2 on loopback.
+	// TLS secures connections to other nodes; nil means plain HTTP/2, for loopback only.
 	TLS *tls.Config
-	// PingAfter is the silence after which a connection is pinged, and the time that the ping may take.
+	// PingAfter is how long a connection may be silent before it is pinged, how long the ping may then take, and the dial
+	// timeout.
 	PingAfter time.Duration
 }
 
-// Handler is the service that answers a backend server's exit calls.
+// Handler is the service, and the HTTP handler, that serves the backend server's exit calls.
 type Handler struct {
 	config    Config
 	clock     figpier.Clock
@@ -37,7 +38,7 @@
 	transport *http.Transport
 }
 
-// New returns a handler that has not started.
+// New returns a handler, to be started by the kernel.
 func New(c Config) *Handler {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(c.TLS == nil)
@@ -86,10 +87,11 @@
 	return nil
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler: it serves one exit call, which ends at the latest with its own deadline or with the
+// live call that it belongs to.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c, l, own, err := h.call(r)
-	defer h.handles.Close(own)
+	c, l, ownHandle, err := h.resolveCall(r)
+	defer h.handles.Close(ownHandle)
 	if err == nil && !l.BeginExit() {
 		err = figpier.Refuse(figpier.RefusalHandleUnknown)
 	}
@@ -106,22 +108,23 @@
 		h.refuse(w, c, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoUpstream, Detail: err.Error()}))
 		return
 	}
-	h.run(ctx, w, r, c, l)
+	h.runAttempts(ctx, w, r, c, l)
 }
 
-// call returns the call that an exit request makes, the live call that it belongs to, and the handle of the latter if it was made here.
-func (h *Handler) call(r *http.Request) (c *figpier.Call, l figpier.LiveCall, own figpier.Handle, err error) {
+// resolveCall returns the call that an exit request makes and the live call that it belongs to. The handle is empty unless
+// the live call was opened here; the caller of this method closes it, also after an error.
+func (h *Handler) resolveCall(r *http.Request) (c *figpier.Call, l figpier.LiveCall, ownHandle figpier.Handle, err error) {
 	if err := web.Check(r, figpier.HeaderCall); err != nil {
 		return nil, nil, "", err
 	}
 	service := figpier.UpstreamService(strings.TrimSuffix(r.Host, figpier.ExitSuffix))
-	route, err := h.route(service, r)
+	route, err := h.matchRoute(service, r)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	l, own, err = h.parent(r, route)
+	l, ownHandle, err = h.findLiveCall(r, route)
 	if err != nil {
-		return nil, nil, own, err
+		return nil, nil, ownHandle, err
 	}
 	hop := l.Call().Config()
 	hop.Service = service
@@ -132,10 +135,11 @@
 	if end := h.clock.Now().Add(route.Deadline()); end.Before(hop.Deadline) {
 		hop.Deadline = end
 	}
-	return figpier.NewCall(hop), l, own, nil
+	return figpier.NewCall(hop), l, ownHandle, nil
 }
 
-func (h *Handler) route(s figpier.UpstreamService, r *http.Request) (*figpier.Route, error) {
+// matchRoute returns the route of a service that the request matches.
+func (h *Handler) matchRoute(s figpier.UpstreamService, r *http.Request) (*figpier.Route, error) {
 	p, ok := h.view.Configuration().ProfileOf(s)
 	if !ok {
 		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoProfile, Detail: string(s)})
@@ -147,8 +151,9 @@
 	return route, nil
 }
 
-// parent returns the live call of the presented handle, or a new one where the route is open to all.
-func (h *Handler) parent(r *http.Request, route *figpier.Route) (l figpier.LiveCall, own figpier.Handle, err error) {
+// findLiveCall returns the live call of the presented handle. Without a handle it opens a live call of its own, which only
+// open routes allow, and returns the handle of that.
+func (h *Handler) findLiveCall(r *http.Request, route *figpier.Route) (l figpier.LiveCall, ownHandle figpier.Handle, err error) {
 	handles := r.Header.Values(figpier.HeaderCall)
 	if len(handles) == 1 {
 		if l, ok := h.handles.Find(figpier.Handle(handles[0])); ok {
@@ -158,13 +163,13 @@
 	if len(handles) > 0 || !route.Open() {
 		return nil, "", figpier.Refuse(figpier.RefusalHandleUnknown)
 	}
-	own, l = h.handles.Open(r.Context(), figpier.NewCall(figpier.CallConfig{
+	ownHandle, l = h.handles.Open(r.Context(), figpier.NewCall(figpier.CallConfig{
 		RequestID: figpier.RequestID(rand.Text()),
 		Priority:  route.Priority(),
 		Rank:      figpier.MaxRank,
 		Deadline:  h.clock.Now().Add(route.Deadline()),
 	}))
-	return l, own, nil
+	return l, ownHandle, nil
 }
 
 func (h *Handler) refuse(w http.ResponseWriter, c *figpier.Call, r *figpier.Refusal) {
--- a/internal/traffic/forward/attempts.go
+++ b/internal/traffic/forward/attempts.go
@@ -12,158 +12,166 @@
 	"github.com/figpier/figpier/internal/wire/codec"
 )
 
-// maxTurnedAway is the number of nodes that may turn a request away before it is refused; each one farther costs a round
-// trip between regions.
-const maxTurnedAway = 3
+// maxUndelivered is the number of attempts that may end before a backend server gets the request; one more of them refuses
+// the request. Each attempt may cost a round trip between regions.
+const maxUndelivered = 3
 
-// returnTime is when a request that has not run may come back: a cut-off that was told is probed again by then, and a
-// member that went away is out of the lists.
-const returnTime = 500 * time.Millisecond
+// notRunRetryAfter is the Retry-After for a request that has not run: by then a reported cut-off is probed again, and a
+// member that is gone has been removed from the lists.
+const notRunRetryAfter = 500 * time.Millisecond
 
-// leastRetryTime is the time below which another attempt can't end in time: a round trip between regions and a short run.
-const leastRetryTime = 30 * time.Millisecond
+// minRetryTime is the least remaining time in which another attempt can still end: a round trip between regions and a
+// short run.
+const minRetryTime = 30 * time.Millisecond
 
-// attempt is how one attempt ended: an answer that is not read yet, or a refusal.
+// attempt is the end of one attempt: an answer whose body is still unread, or a refusal.
 type attempt struct {
 	answer  *figpier.Answer
 	refusal *figpier.Refusal
-	kind    figpier.OutcomeKind
-	cutOff  figpier.Rank
+	// kind is the outcome of a refused attempt; that of an answer is known once its body has been read.
+	kind figpier.OutcomeKind
+	// cutOff is the cut-off that the member reported, figpier.MaxRank for none.
+	cutOff figpier.Rank
 }
 
-// progress is what the attempts of one request have come to so far.
+// progress sums up the attempts of one request so far.
 type progress struct {
 	tried []figpier.InstanceID
-	// reached is the number of backend servers that got the request.
-	reached int
-	// ran says that one of them may have run it.
+	// delivered is the number of refused attempts that got as far as a backend server.
+	delivered int
+	// ran means that one of them may have run the request.
 	ran bool
 }
 
-// run tries members until the call has an answer or may not be tried again.
-func (f *Forwarder) run(ctx context.Context, i *figpier.Inbound, c *figpier.Call) (*figpier.Answer, error) {
+// runAttempts attempts the call at one member after another until there is an answer or no further attempt is allowed.
+func (f *Forwarder) runAttempts(ctx context.Context, i *figpier.Inbound, c *figpier.Call) (*figpier.Answer, error) {
 	body, err := web.NewReplay(i.Body(), i.Length())
 	if err != nil {
 		return nil, err
 	}
-	f.first(c)
+	f.countFirstAttempt(c)
 	p := &progress{}
 	var last *figpier.Refusal
 	for {
 		m, err := f.router.Pick(c, p.tried)
 		if err != nil {
-			return nil, final(last, web.AsRefusal(err), p)
+			return nil, finalRefusal(last, web.AsRefusal(err), p)
 		}
-		a := f.attempt(ctx, i, c, m, body)
-		p.note(m, a)
+		a := f.startAttempt(ctx, i, c, m, body)
+		p.add(m, a)
 		if a.answer != nil {
 			return a.answer, nil
 		}
 		last = a.refusal
-		if !f.again(ctx, c, a, p, body) {
-			return nil, final(last, last, p)
+		if !f.mayRetry(ctx, c, a, p, body) {
+			return nil, finalRefusal(last, last, p)
 		}
 	}
 }
 
-// note takes in how an attempt ended.
-func (p *progress) note(m *figpier.Member, a *attempt) {
+// add records an attempt at a member.
+func (p *progress) add(m *figpier.Member, a *attempt) {
 	p.tried = append(p.tried, m.Instance())
 	if a.refusal == nil {
 		return
 	}
 	if a.refusal.Reason() == figpier.RefusalBackendFull || !a.refusal.NotRun() {
-		p.reached++
+		p.delivered++
 	}
 	p.ran = p.ran || !a.refusal.NotRun()
 }
 
-func (f *Forwarder) first(c *figpier.Call) {
+// countFirstAttempt counts a first attempt, which the share of retries is relative to.
+func (f *Forwarder) countFirstAttempt(c *figpier.Call) {
 	now := f.clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retries.First(now, c.Service())
+	f.retryBudget.First(now, c.Service())
 }
 
-// again reports whether the call is tried once more, and counts and logs why or why not.
-func (f *Forwarder) again(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) bool {
-	reason, ok := f.judge(ctx, c, a, p, body)
+// mayRetry decides whether to make another attempt, and counts and logs the decision.
+func (f *Forwarder) mayRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) bool {
+	reason, ok := f.decideRetry(ctx, c, a, p, body)
 	f.counters.Retried(reason)
 	f.log.Retried(c, reason)
 	return ok
 }
 
-func (f *Forwarder) judge(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) (figpier.RetryReason, bool) {
+// decideRetry decides whether to make another attempt, and takes it from the service's retry budget. An attempt after which
+// no backend server has got the request is free.
+func (f *Forwarder) decideRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) (figpier.RetryReason, bool) {
 	now := f.clock.Now()
 	switch {
-	case ctx.Err() != nil || c.Deadline().Sub(now) < leastRetryTime:
+	case ctx.Err() != nil || c.Deadline().Sub(now) < minRetryTime:
 		return figpier.NoRetryDeadline, false
 	case body.Spent():
 		return figpier.NoRetryBodyStarted, false
 	case p.ran && !c.Idempotent():
 		return figpier.NoRetryUnsafe, false
-	case len(p.tried) > maxTurnedAway+p.reached:
+	case len(p.tried) > maxUndelivered+p.delivered:
 		return figpier.NoRetryOverload, false
-	case p.reached == 0:
+	case p.delivered == 0:
 		return figpier.RetryNotRun, true
-	case p.reached > c.Budget():
+	case p.delivered > c.Budget():
 		return figpier.NoRetryBudget, false
 	case a.kind == figpier.OutcomeCancelled:
 		return figpier.NoRetryDone, false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.retries.Retry(now, c.Service()) {
+	if !f.retryBudget.Retry(now, c.Service()) {
 		return figpier.NoRetryShare, false
 	}
 	return figpier.RetryFailed, true
 }
 
-// final returns the refusal that ends a request, without the "not run" mark where an attempt may have run.
-func final(last, now *figpier.Refusal, p *progress) *figpier.Refusal {
+// finalRefusal returns the refusal that ends a request: that of the last attempt, without the "not run" mark, if an attempt
+// may have run, and else the newest refusal, with a Retry-After.
+func finalRefusal(last, newest *figpier.Refusal, p *progress) *figpier.Refusal {
 	if !p.ran {
-		return withReturn(now)
+		return withRetryAfter(newest)
 	}
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: last.Reason(), RanSomewhere: true, RetryAfter: last.RetryAfter()})
 }
 
-// withReturn has a caller told when to come back whose request has not run.
-func withReturn(r *figpier.Refusal) *figpier.Refusal {
+// withRetryAfter sets a Retry-After on a "not run" refusal that has none.
+func withRetryAfter(r *figpier.Refusal) *figpier.Refusal {
 	if !r.NotRun() || r.RetryAfter() > 0 {
 		return r
 	}
-	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r.Reason(), ProvenNotRun: true, RetryAfter: returnTime})
+	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r.Reason(), ProvenNotRun: true, RetryAfter: notRunRetryAfter})
 }
 
-// attempt sends the call to one member; the member's turn lasts until the answer has been read.
-func (f *Forwarder) attempt(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member, body *web.Replay) *attempt {
+// startAttempt sends the call to one member. The router counts the attempt as open until the answer's body has been read.
+func (f *Forwarder) startAttempt(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member, body *web.Replay) *attempt {
 	began := f.clock.Now()
 	f.router.Begin(m)
 	next := i.Config()
 	next.Body, next.Length = body.Body(), body.Length()
 	var a *attempt
 	if m.Instance() == f.config.Instance {
-		a = f.local(ctx, figpier.NewInbound(next), c)
+		a = f.deliverLocal(ctx, figpier.NewInbound(next), c)
 	} else {
-		a = f.remote(ctx, figpier.NewInbound(next), c, m)
+		a = f.sendRemote(ctx, figpier.NewInbound(next), c, m)
 	}
 	end := func(k figpier.OutcomeKind) {
 		o := figpier.NewOutcome(k, f.clock.Now().Sub(began))
 		f.router.End(m, o, a.cutOff)
-		f.report(c, m, a, o)
+		f.logAttempt(c, m, a, o)
 	}
 	if a.answer == nil {
 		end(a.kind)
 		return a
 	}
 	answer := a.answer.Config()
-	answer.Body = web.NewWatchedBody(answer.Body, func(err error) { end(readKind(ctx, err)) })
+	answer.Body = web.NewWatchedBody(answer.Body, func(err error) { end(bodyOutcome(ctx, err)) })
 	a.answer = figpier.NewAnswer(answer)
 	return a
 }
 
-// report logs an attempt that did not end with a whole answer of success, which would be a line a request.
-func (f *Forwarder) report(c *figpier.Call, m *figpier.Member, a *attempt, o figpier.Outcome) {
+// logAttempt logs an attempt unless it ended with a complete answer below status 500; logging those too would be a line for
+// each request.
+func (f *Forwarder) logAttempt(c *figpier.Call, m *figpier.Member, a *attempt, o figpier.Outcome) {
 	status := 0
 	if a.answer != nil {
 		status = a.answer.Status()
@@ -174,8 +182,8 @@
 	f.log.Routed(c, m, status, o)
 }
 
-// readKind returns how an attempt ended whose answer was read until an error, nil at its end.
-func readKind(ctx context.Context, err error) figpier.OutcomeKind {
+// bodyOutcome returns the outcome of an attempt by the error that ended the reading of its answer, nil for a complete answer.
+func bodyOutcome(ctx context.Context, err error) figpier.OutcomeKind {
 	switch {
 	case err == nil:
 		return figpier.OutcomeDone
@@ -185,33 +193,33 @@
 	return figpier.OutcomeFailed
 }
 
-// local gives the call to the backend server beside this node.
-func (f *Forwarder) local(ctx context.Context, i *figpier.Inbound, c *figpier.Call) *attempt {
+// deliverLocal delivers the call to the backend server beside this node.
+func (f *Forwarder) deliverLocal(ctx context.Context, i *figpier.Inbound, c *figpier.Call) *attempt {
 	answer, err := f.deliverer.Deliver(ctx, c, i)
 	a := &attempt{answer: answer, cutOff: f.admission.CutOff()}
 	if err != nil {
 		a.refusal = web.AsRefusal(err)
-		a.kind = refusedKind(a.refusal)
+		a.kind = refusalOutcome(a.refusal)
 	}
 	return a
 }
 
-// remote sends the call to the node of a member.
-func (f *Forwarder) remote(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member) *attempt {
+// sendRemote sends the call to the node of a member.
+func (f *Forwarder) sendRemote(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member) *attempt {
 	envelope, err := codec.EncodeEnvelope(c, f.clock.Now())
 	if err != nil {
-		return unreached(err)
+		return unreachedAttempt(err)
 	}
 	out, sent := web.Dispatch(ctx, m.PeerAddress(), i, i.Body())
 	out.Header.Set(figpier.HeaderEnvelope, envelope)
 	response, err := f.transport.RoundTrip(out)
 	if err != nil {
-		return f.broken(ctx, sent, err)
+		return f.failedAttempt(ctx, sent, err)
 	}
-	cutOff := rankIn(response.Header)
+	cutOff := cutOffHeader(response.Header)
 	if r, refused := web.ToldRefusal(response.Header); refused {
 		_ = response.Body.Close()
-		return &attempt{refusal: r, kind: refusedKind(r), cutOff: cutOff}
+		return &attempt{refusal: r, kind: refusalOutcome(r), cutOff: cutOff}
 	}
 	return &attempt{
 		answer: figpier.NewAnswer(figpier.AnswerConfig{
@@ -224,10 +232,10 @@
 	}
 }
 
-// broken returns the end of an attempt at a node that did not answer.
-func (f *Forwarder) broken(ctx context.Context, sent *web.Attempt, err error) *attempt {
+// failedAttempt returns the refusal of an attempt at a node that did not answer.
+func (f *Forwarder) failedAttempt(ctx context.Context, sent *web.Attempt, err error) *attempt {
 	if !sent.Reached() {
-		return unreached(err)
+		return unreachedAttempt(err)
 	}
 	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, RanSomewhere: true, Detail: err.Error()}
 	kind := figpier.OutcomeFailed
@@ -242,7 +250,8 @@
 	return &attempt{refusal: figpier.NewRefusal(c), kind: kind, cutOff: figpier.MaxRank}
 }
 
-func unreached(err error) *attempt {
+// unreachedAttempt returns an attempt whose request was never sent.
+func unreachedAttempt(err error) *attempt {
 	return &attempt{
 		refusal: figpier.NewRefusal(figpier.RefusalConfig{
 			Reason:       figpier.RefusalPeerFailed,
@@ -254,8 +263,8 @@
 	}
 }
 
-// refusedKind returns what a refusal says of the member that told it.
-func refusedKind(r *figpier.Refusal) figpier.OutcomeKind {
+// refusalOutcome returns the outcome of an attempt that ended with a refusal.
+func refusalOutcome(r *figpier.Refusal) figpier.OutcomeKind {
 	switch r.Reason() {
 	case figpier.RefusalOverload, figpier.RefusalCutOff, figpier.RefusalBackendFull:
 		return figpier.OutcomeOverloaded
@@ -270,8 +279,8 @@
 	return figpier.OutcomeFailed
 }
 
-// rankIn returns the cut-off that came with an answer, figpier.MaxRank for none.
-func rankIn(h http.Header) figpier.Rank {
+// cutOffHeader returns the cut-off in the headers of an answer, figpier.MaxRank for none.
+func cutOffHeader(h http.Header) figpier.Rank {
 	n, err := strconv.ParseUint(h.Get(figpier.HeaderCutOff), 10, 32)
 	if err != nil {
 		return figpier.MaxRank
--- a/internal/traffic/forward/doc.go
+++ b/internal/traffic/forward/doc.go
@@ -1,3 +1,3 @@
-// Package forward takes callers' requests from the node that they enter to the node beside a backend server, and tries again
-// where that is allowed.
+// Package forward sends callers' requests from the node that they enter to a node beside a backend server, and makes further
+// attempts where that is allowed.
 package forward
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -13,27 +13,28 @@
 
 // Bounds on the connections to other nodes.
 const (
-	idleConnections = 64
-	idleTimeout     = 30 * time.Second
-	// dialTimeout is many round trips between regions.
+	maxIdleConnections = 64
+	idleTimeout        = 30 * time.Second
+	// dialTimeout leaves time for many round trips between regions.
 	dialTimeout = 500 * time.Millisecond
-	// unanswered is many round trips between regions; a connection that went silent ends after it.
-	unanswered = time.Second
+	// unackedTimeout is how long data or a probe may stay unacknowledged before the connection is closed; it leaves time for
+	// many round trips between regions.
+	unackedTimeout = time.Second
 )
 
-// Config builds a Forwarder.
+// Config holds the settings of a Forwarder.
 type Config struct {
-	// Instance is the member that this node announces itself as.
+	// Instance is the name of this node; calls to it are delivered without going over the network.
 	Instance figpier.InstanceID
-	// RetryShare is the most retries to a service for each first attempt.
+	// RetryShare is the greatest number of retries to a service for each first attempt.
 	RetryShare float64
-	// RetryWindow is the span over which retries are counted.
+	// RetryWindow is the period over which attempts and retries are counted.
 	RetryWindow time.Duration
-	// FreeRetries is the number of retries to a service within the window besides.
+	// FreeRetries is the number of retries to a service that each window allows in addition.
 	FreeRetries float64
 }
 
-// Forwarder implements figpier.Forwarder.
+// Forwarder routes callers' requests to backend servers. It implements figpier.Forwarder.
 type Forwarder struct {
 	config    Config
 	clock     figpier.Clock
@@ -46,21 +47,21 @@
 	log       figpier.RequestLog
 	transport *http.Transport
 
-	mu      sync.Mutex
-	retries *budget.Table
+	mu          sync.Mutex // guards retries
+	retryBudget *budget.Table
 }
 
-// New returns a forwarder that has not started.
+// New returns a forwarder, to be started by the kernel.
 func New(c Config) *Forwarder {
 	return &Forwarder{
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
 			DialTimeout:     dialTimeout,
-			Unanswered:      unanswered,
+			Unanswered:      unackedTimeout,
 			IdleTimeout:     idleTimeout,
-			IdleConnections: idleConnections,
+			IdleConnections: maxIdleConnections,
 		}),
-		retries: budget.New(budget.Config{Share: c.RetryShare, Window: c.RetryWindow, Free: c.FreeRetries}),
+		retryBudget: budget.New(budget.Config{Share: c.RetryShare, Window: c.RetryWindow, Free: c.FreeRetries}),
 	}
 }
 
@@ -91,7 +92,7 @@
 	if f.log, err = figpier.FindRequestLog(d); err != nil {
 		return err
 	}
-	f.view.Subscribe(f.followAll)
+	f.view.Subscribe(f.followServices)
 	return nil
 }
 
@@ -101,20 +102,21 @@
 	return nil
 }
 
-// followAll has the members of every service of the routing table known before the first request.
-func (f *Forwarder) followAll(c *figpier.Configuration) {
+// followServices subscribes to the members of every service in the routing table, so that they are known before the first
+// request.
+func (f *Forwarder) followServices(c *figpier.Configuration) {
 	if c.Table() == nil {
 		return
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range c.Table().Services() {
-		// The wish is posted at once; nobody waits for the members here.
-		_ = f.view.Follow(ended, s.Name())
+		// Follow posts the subscription before it waits; the cancelled context skips the wait.
+		_ = f.view.Follow(cancelled, s.Name())
 	}
 }
 
-// Forward implements figpier.Forwarder.
+// Forward implements figpier.Forwarder. The deadline of the call holds until the answer's body has been read.
 func (f *Forwarder) Forward(ctx context.Context, i *figpier.Inbound) (*figpier.Answer, error) {
 	var keys []string
 	if i.Key() != "" {
@@ -132,11 +134,11 @@
 	if err != nil {
 		return nil, f.refused(c, web.AsRefusal(err))
 	}
-	if i, err = f.bound(i); err != nil {
+	if i, err = f.limitBody(i); err != nil {
 		return nil, f.refused(c, web.AsRefusal(err))
 	}
 	bounded, cancel := context.WithTimeout(ctx, c.Deadline().Sub(f.clock.Now()))
-	a, err := f.run(bounded, i, c)
+	a, err := f.runAttempts(bounded, i, c)
 	if err != nil {
 		cancel()
 		return nil, f.refused(c, web.AsRefusal(err))
@@ -150,24 +152,25 @@
 	return figpier.NewAnswer(answer), nil
 }
 
-// bound holds the body of a request to the size that the routing table allows.
-func (f *Forwarder) bound(i *figpier.Inbound) (*figpier.Inbound, error) {
+// limitBody limits the body of a request to the size that the routing table allows; 0 there means no limit.
+func (f *Forwarder) limitBody(i *figpier.Inbound) (*figpier.Inbound, error) {
 	t := f.view.Configuration().Table()
 	if t == nil || t.Limits().BodyBytes() == 0 {
 		return i, nil
 	}
-	most := t.Limits().BodyBytes()
-	if i.Length() > most {
+	maxBytes := t.Limits().BodyBytes()
+	if i.Length() > maxBytes {
 		return nil, figpier.Refuse(figpier.RefusalBodyTooLarge)
 	}
 	if i.Length() >= 0 {
 		return i, nil
 	}
 	c := i.Config()
-	c.Body = http.MaxBytesReader(nil, c.Body, most)
+	c.Body = http.MaxBytesReader(nil, c.Body, maxBytes)
 	return figpier.NewInbound(c), nil
 }
 
+// refused counts and logs a refusal, and returns it.
 func (f *Forwarder) refused(c *figpier.Call, r *figpier.Refusal) *figpier.Refusal {
 	f.counters.Refused(r.Reason())
 	f.log.Refused(c, r)
--- a/internal/traffic/upstream/doc.go
+++ b/internal/traffic/upstream/doc.go
@@ -1,2 +1,3 @@
-// Package upstream keeps what the backend server beside a node says of itself, whatever protocol it says it in.
+// Package upstream keeps the announced state of the backend server beside a node and announces the node to the control
+// instances. It doesn't depend on the protocol in which the backend server announces itself.
 package upstream
--- a/internal/traffic/upstream/event.go
+++ b/internal/traffic/upstream/event.go
@@ -8,20 +8,21 @@
 	"github.com/figpier/figpier"
 )
 
-// event is an event of the upstream.
+// event is embedded in the events of this service to give them their target.
 type event struct{}
 
 // Target implements figpier.Event.
 func (event) Target() figpier.ServiceName { return figpier.BackendService }
 
-// announced brings an announcement of the backend server.
+// announced carries an announcement of the backend server; done is closed once it has been handled.
 type announced struct {
 	event
 	announcement figpier.Announcement
 	done         chan struct{}
 }
 
-// withdrawn brings the word of an incarnation that it leaves.
+// withdrawn carries the notice of one incarnation of the backend server that it leaves. A zero start time matches any
+// start of the incarnation.
 type withdrawn struct {
 	event
 	incarnation string
@@ -29,28 +30,28 @@
 	done        chan struct{}
 }
 
-// noticeOver ends the time in which a draining backend server still takes new work.
+// noticeOver ends the period in which a draining backend server still accepts new work.
 type noticeOver struct {
 	event
 	incarnation string
 }
 
-// quiet is due when the newest announcement is too old.
-type quiet struct {
+// announcementExpired is posted when the announcement with this sequence number expires.
+type announcementExpired struct {
 	event
 	sequence uint64
 }
 
-// leave announces that the node leaves.
-type leave struct{ event }
+// leaveRequested makes the node announce that it leaves.
+type leaveRequested struct{ event }
 
-// shut refuses all new work.
-type shut struct {
+// closeRequested makes the node refuse all new work; done is closed once that is published.
+type closeRequested struct {
 	event
 	done chan struct{}
 }
 
-// HandleEvent implements figpier.EventHandler.
+// HandleEvent implements figpier.EventHandler. The caller waits on done, which is closed after the change is published.
 func (u *Upstream) HandleEvent(_ time.Time, e figpier.Event) {
 	switch e := e.(type) {
 	case announced:
@@ -61,86 +62,91 @@
 		u.onWithdrawn(e)
 	case noticeOver:
 		u.drained = u.drained || u.draining && e.incarnation == u.newest.Incarnation()
-	case quiet:
-		u.onQuiet(e)
-	case leave:
+	case announcementExpired:
+		u.onAnnouncementExpired(e)
+	case leaveRequested:
 		u.leaving = true
-	case shut:
+	case closeRequested:
 		defer close(e.done)
 		u.closed = true
 	}
 	u.publish()
 }
 
-// onAnnounced takes an announcement over, unless it is older than the newest one.
+// onAnnounced applies an announcement unless a newer one has been applied. A new incarnation starts without slots or
+// drain state of the previous one.
 func (u *Upstream) onAnnounced(a figpier.Announcement) {
-	if u.known && older(a, u.newest) {
-		u.line(a).Info("ignored a late announcement")
+	if u.known && outdated(a, u.newest) {
+		u.logEntry(a).Info("ignored an outdated announcement of the backend server")
 		return
 	}
-	if !u.known || !same(a, u.newest) {
-		u.line(a).Info("the backend server announced itself")
-		u.cancelDrain()
+	if !u.known || !sameIncarnation(a, u.newest) {
+		u.logEntry(a).Info("the backend server announced itself")
+		u.cancelNotice()
 		u.draining, u.drained = false, false
 		u.admission.Resize(0)
 	}
 	u.newest, u.known = a, true
 	u.admission.Resize(a.Slots())
-	u.watch(a)
+	u.scheduleExpiry(a)
 	if a.Draining() {
-		u.drain()
+		u.startDrain()
 	}
 }
 
-// older reports whether an announcement was made before another, which may be one of another incarnation.
-func older(a, newest figpier.Announcement) bool {
-	if same(a, newest) {
+// outdated reports whether an announcement is not newer than the newest one. Announcements of one incarnation are ordered by
+// sequence number, those of different incarnations by start time.
+func outdated(a, newest figpier.Announcement) bool {
+	if sameIncarnation(a, newest) {
 		return a.Sequence() <= newest.Sequence()
 	}
 	return !a.Started().IsZero() && a.Started().Before(newest.Started())
 }
 
-// same reports whether two announcements are of one incarnation; a backend server may start again under its old name.
-func same(a, b figpier.Announcement) bool {
+// sameIncarnation reports whether two announcements come from one run of the backend server. The start time counts too, as a
+// backend server may restart under its old incarnation name.
+func sameIncarnation(a, b figpier.Announcement) bool {
 	return a.Incarnation() == b.Incarnation() && a.Started().Equal(b.Started())
 }
 
+// onWithdrawn starts the drain if the withdrawal is for the current run of the backend server.
 func (u *Upstream) onWithdrawn(e withdrawn) {
 	n := u.newest
 	if !u.known || e.incarnation != n.Incarnation() || !e.started.IsZero() && !e.started.Equal(n.Started()) {
 		return
 	}
-	u.drain()
+	u.startDrain()
 }
 
-// drain tells the other nodes at once, and takes no new work from here either once they have had time to learn.
-func (u *Upstream) drain() {
+// startDrain announces the drain to other nodes at once, and refuses new work once the notice is over.
+func (u *Upstream) startDrain() {
 	if u.draining {
 		return
 	}
 	u.draining = true
-	u.line(u.newest).Info("the backend server drains")
-	u.cancelDrain = u.control.PostAfter(u.config.Notice, noticeOver{incarnation: u.newest.Incarnation()})
+	u.logEntry(u.newest).Info("the backend server is draining")
+	u.cancelNotice = u.control.PostAfter(u.config.Notice, noticeOver{incarnation: u.newest.Incarnation()})
 }
 
-// watch has the control thread told when an announcement was the last one for too long.
-func (u *Upstream) watch(a figpier.Announcement) {
-	u.cancelQuiet()
-	u.cancelQuiet = u.control.PostAfter(u.config.Silence, quiet{sequence: a.Sequence()})
+// scheduleExpiry starts the timer after which the announcement expires, in place of that of the previous one.
+func (u *Upstream) scheduleExpiry(a figpier.Announcement) {
+	u.cancelExpiry()
+	u.cancelExpiry = u.control.PostAfter(u.config.Silence, announcementExpired{sequence: a.Sequence()})
 }
 
-func (u *Upstream) onQuiet(e quiet) {
+// onAnnouncementExpired marks the backend server as unknown unless a newer announcement has come.
+func (u *Upstream) onAnnouncementExpired(e announcementExpired) {
 	if e.sequence != u.newest.Sequence() {
 		return
 	}
-	u.line(u.newest).Warn("the backend server announces itself no more")
+	u.logEntry(u.newest).Warn("the backend server has stopped announcing itself")
 	u.known = false
 	u.admission.Resize(0)
 }
 
-// publish shows the state to traffic threads, and announces the node when what it announces has changed.
+// publish makes the state visible to traffic threads, and announces the node if its entry has changed.
 func (u *Upstream) publish() {
-	u.current.Store(&view{
+	u.current.Store(&snapshot{
 		incarnation: u.newest.Incarnation(),
 		known:       u.known,
 		drained:     u.drained || u.closed,
@@ -149,16 +155,16 @@
 	m := u.config.Member
 	m.Slots = u.newest.Slots()
 	m.Draining = u.draining || u.leaving || !u.known
-	if u.sequence > 0 && m == u.told {
+	if u.sequence > 0 && m == u.lastMember {
 		return
 	}
-	u.told = m
+	u.lastMember = m
 	u.sequence++
 	m.Sequence = u.sequence
-	u.nodes.Announce(figpier.NewMember(m))
+	u.view.Announce(figpier.NewMember(m))
 }
 
-func (u *Upstream) line(a figpier.Announcement) *logrus.Entry {
+func (u *Upstream) logEntry(a figpier.Announcement) *logrus.Entry {
 	return u.config.Log.WithFields(logrus.Fields{
 		"incarnation": a.Incarnation(),
 		"sequence":    a.Sequence(),
--- a/internal/traffic/upstream/upstream.go
+++ b/internal/traffic/upstream/upstream.go
@@ -10,53 +10,62 @@
 	"github.com/figpier/figpier"
 )
 
-// Config builds an Upstream.
+// Config holds the settings of an Upstream.
 type Config struct {
 	// Address is the IP address and port at which the backend server takes requests.
 	Address string
-	// Silence is the greatest age of an announcement.
+	// Silence is the age at which an announcement expires unless a newer one has come.
 	Silence time.Duration
-	// Notice is how long new work is still taken after the backend server announced that it drains.
+	// Notice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
+	// time to learn of it.
 	Notice time.Duration
-	// Member states what the node announces, but for slots and draining.
+	// Member is the node's own entry in the members list; its slots, draining state and sequence are filled in here.
 	Member figpier.MemberConfig
-	// Log takes a line for each change of what is believed of the backend server.
+	// Log receives a line for each change of the backend server's state.
 	Log *logrus.Entry
 }
 
-// view is what traffic threads know of the backend server.
-type view struct {
+// snapshot is the state that traffic threads read; it is never changed once published.
+type snapshot struct {
 	incarnation string
-	known       bool
-	drained     bool
-	leaving     bool
+	// known means that the newest announcement has not expired.
+	known bool
+	// drained means that no new work is accepted: the drain notice is over, or the node has closed.
+	drained bool
+	// leaving means that the node has announced that it leaves.
+	leaving bool
 }
 
-// Upstream implements figpier.Backend and figpier.Announcements.
+// Upstream tracks the backend server beside the node. It implements figpier.Backend and figpier.Announcements.
 type Upstream struct {
 	config    Config
 	control   figpier.ControlThread
-	nodes     figpier.ConfigurationView
+	view      figpier.ConfigurationView
 	admission figpier.Admission
-	current   atomic.Pointer[view]
-
-	// The control thread owns the rest.
-	newest      figpier.Announcement
-	known       bool
-	draining    bool
-	drained     bool
-	leaving     bool
-	closed      bool
-	told        figpier.MemberConfig
-	sequence    uint64
-	cancelQuiet func()
-	cancelDrain func()
+	current   atomic.Pointer[snapshot]
+
+	// The fields below belong to the control thread.
+
+	newest figpier.Announcement
+	// known means that newest has not expired.
+	known bool
+	// draining means that the backend server has begun to drain, drained that the notice is over as well.
+	draining bool
+	drained  bool
+	leaving  bool
+	closed   bool
+	// lastMember is the entry that the node announced last, and sequence the number of entries announced so far.
+	lastMember figpier.MemberConfig
+	sequence   uint64
+	// cancelExpiry and cancelNotice stop the timers of the announcement's expiry and of the drain notice.
+	cancelExpiry func()
+	cancelNotice func()
 }
 
-// New returns an upstream that has announced nothing.
+// New returns an Upstream whose backend server has not announced itself yet.
 func New(c Config) *Upstream {
-	u := &Upstream{config: c, cancelQuiet: func() {}, cancelDrain: func() {}}
-	u.current.Store(&view{})
+	u := &Upstream{config: c, cancelExpiry: func() {}, cancelNotice: func() {}}
+	u.current.Store(&snapshot{})
 	return u
 }
 
@@ -66,7 +75,7 @@
 // Start implements figpier.Service.
 func (u *Upstream) Start(_ context.Context, d figpier.Directory) (err error) {
 	u.control = d.Control()
-	if u.nodes, err = figpier.FindView(d); err != nil {
+	if u.view, err = figpier.FindView(d); err != nil {
 		return err
 	}
 	u.admission, err = figpier.FindAdmission(d)
@@ -76,7 +85,7 @@
 // Stop implements figpier.Service.
 func (u *Upstream) Stop(context.Context) error { return nil }
 
-// Address implements figpier.Backend.
+// Address implements figpier.Backend: it refuses while the backend server is unknown or no longer accepts work.
 func (u *Upstream) Address() (string, error) {
 	v := u.current.Load()
 	switch {
@@ -89,15 +98,15 @@
 }
 
 // Leave implements figpier.Backend.
-func (u *Upstream) Leave() { _ = u.control.Post(leave{}) }
+func (u *Upstream) Leave() { _ = u.control.Post(leaveRequested{}) }
 
 // Leaving implements figpier.Backend.
 func (u *Upstream) Leaving() bool { return u.current.Load().leaving }
 
-// Close implements figpier.Backend.
+// Close implements figpier.Backend; it returns once the control thread has published the change.
 func (u *Upstream) Close() {
 	done := make(chan struct{})
-	if err := u.control.Post(shut{done: done}); err == nil {
+	if err := u.control.Post(closeRequested{done: done}); err == nil {
 		<-done
 	}
 }
@@ -105,20 +114,20 @@
 // Incarnation implements figpier.Announcements.
 func (u *Upstream) Incarnation() string { return u.current.Load().incarnation }
 
-// Announce implements figpier.Announcements.
+// Announce implements figpier.Announcements; it returns once the control thread has handled the announcement.
 func (u *Upstream) Announce(ctx context.Context, a figpier.Announcement) error {
 	e := announced{announcement: a, done: make(chan struct{})}
-	return u.post(ctx, e, e.done)
+	return u.postAndWait(ctx, e, e.done)
 }
 
-// Withdraw implements figpier.Announcements.
+// Withdraw implements figpier.Announcements; it returns once the control thread has handled the withdrawal.
 func (u *Upstream) Withdraw(ctx context.Context, incarnation string, started time.Time) error {
 	e := withdrawn{incarnation: incarnation, started: started, done: make(chan struct{})}
-	return u.post(ctx, e, e.done)
+	return u.postAndWait(ctx, e, e.done)
 }
 
-// post has the control thread handle an event and waits until it has.
-func (u *Upstream) post(ctx context.Context, e figpier.Event, done <-chan struct{}) error {
+// postAndWait sends an event to the control thread and waits until the event has been handled.
+func (u *Upstream) postAndWait(ctx context.Context, e figpier.Event, done <-chan struct{}) error {
 	if err := u.control.Post(e); err != nil {
 		return err
 	}
