--- a/internal/traffic/gate/gate.go
+++ b/internal/traffic/gate/gate.go
@@ -11,13 +11,13 @@
 // maxKeyBytes is the greatest length of a customer key.
 const maxKeyBytes = 256
 
-// Config builds a Gate.
+// Config holds the settings of a Gate.
 type Config struct {
 	// Service is the service that the backend server beside the node runs.
 	Service figpier.UpstreamService
 }
 
-// Gate implements figpier.Gate.
+// Gate admits requests by the profile of one service. It implements figpier.Gate.
 type Gate struct {
 	config  Config
 	clock   figpier.Clock
@@ -27,7 +27,7 @@
 	judge   figpier.RetryJudge
 }
 
-// New returns a gate that has not started.
+// New returns a gate, to be started by the kernel.
 func New(c Config) *Gate { return &Gate{config: c} }
 
 // Name implements figpier.Service.
@@ -52,7 +52,7 @@
 // Stop implements figpier.Service.
 func (g *Gate) Stop(context.Context) error { return nil }
 
-// Enter implements figpier.Gate.
+// Enter implements figpier.Gate. A request counts towards its customer's fair share only once it has passed all checks.
 func (g *Gate) Enter(ctx context.Context, a *figpier.Arrival) (*figpier.Call, error) {
 	configuration := g.view.Configuration()
 	profile, ok := configuration.ProfileOf(g.config.Service)
@@ -79,15 +79,16 @@
 		Idempotent:     route.Idempotent(),
 		IdempotencyKey: a.IdempotencyKey(),
 	}
-	if err := g.limit(ctx, c, profile); err != nil {
+	if err := g.checkLimits(ctx, c, profile); err != nil {
 		return figpier.NewCall(c), err
 	}
 	c.Rank = g.ranker.Rank(c.RequestID, customer, profile.Weight(customer), c.Priority)
 	return figpier.NewCall(c), nil
 }
 
-// limit holds a customer to the pace, rate and burst of the profile.
-func (g *Gate) limit(ctx context.Context, c figpier.CallConfig, p *figpier.Profile) error {
+// checkLimits refuses a retry that comes sooner than the profile's interval, and a request over the customer's rate and
+// burst.
+func (g *Gate) checkLimits(ctx context.Context, c figpier.CallConfig, p *figpier.Profile) error {
 	if wait := g.judge.Pace(c.Customer, c.IdempotencyKey, p.Retry().CallerInterval()); wait > 0 {
 		return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalRetryTooSoon, RetryAfter: wait})
 	}
@@ -97,7 +98,7 @@
 	return g.limiter.Take(ctx, c.Customer, c.Service)
 }
 
-// identify returns the customer whose key came with the request, none on a route open to all.
+// identify returns the customer whose key came with the request, and the key's digest. Both are zero on an open route.
 func (g *Gate) identify(c *figpier.Configuration, r *figpier.Route, a *figpier.Arrival) (figpier.CustomerID, figpier.KeyDigest, error) {
 	var none figpier.KeyDigest
 	keys := a.Keys()
@@ -113,7 +114,7 @@
 	if !g.view.Fresh(g.clock.Now()) {
 		return "", none, figpier.Refuse(figpier.RefusalStaleView)
 	}
-	// The table is keyed by digest, so that the time of a lookup tells nothing about the secret.
+	// Keys are looked up by digest, so that the duration of a lookup reveals nothing about the secret.
 	digest := figpier.KeyDigest(sha256.Sum256([]byte(keys[0])))
 	customer, ok := c.CustomerOf(digest)
 	if !ok {
--- a/internal/traffic/gate/gate_test.go
+++ b/internal/traffic/gate/gate_test.go
@@ -12,9 +12,9 @@
 	"github.com/figpier/figpier"
 )
 
-var began = time.Unix(1, 0)
+var testStart = time.Unix(1, 0)
 
-// Fakes of the services that the gate asks; the embedded interfaces stand for what it does not use.
+// Fakes of the services that the gate uses. A call of a method that only the embedded nil interface has panics.
 type (
 	fakeClock struct{ figpier.Clock }
 	fakeView  struct {
@@ -37,7 +37,7 @@
 	}
 )
 
-func (fakeClock) Now() time.Time { return began }
+func (fakeClock) Now() time.Time { return testStart }
 
 func (v *fakeView) Configuration() *figpier.Configuration { return v.configuration }
 
@@ -78,16 +78,16 @@
 }
 
 func arrival(path string, keys ...string) *figpier.Arrival {
-	return figpier.NewArrival(figpier.ArrivalConfig{Method: "GET", Path: path, Keys: keys, Received: began})
+	return figpier.NewArrival(figpier.ArrivalConfig{Method: "GET", Path: path, Keys: keys, Received: testStart})
 }
 
-func TestEnterLetsTheCustomerIn(t *testing.T) {
+func TestEnterAdmitsCustomerWithKey(t *testing.T) {
 	g, _, l, _, _ := newGate()
 	c, err := g.Enter(t.Context(), arrival("/a", secret))
 	assert.NilError(t, err)
 	assert.Equal(t, c.Customer(), figpier.CustomerID("valv"))
 	assert.Equal(t, c.Rank(), figpier.Rank(7))
-	assert.Equal(t, c.Deadline(), began.Add(time.Second))
+	assert.Equal(t, c.Deadline(), testStart.Add(time.Second))
 	assert.Equal(t, l.taken, 1)
 }
 
@@ -109,7 +109,7 @@
 		limit    error
 		wait     time.Duration
 		reason   figpier.RefusalReason
-		customer figpier.CustomerID // empty when the call is not told
+		customer figpier.CustomerID // empty when no call is returned with the refusal
 	}{
 		{"no key", arrival("/a"), false, nil, 0, figpier.RefusalKeyMissing, ""},
 		{"empty key", arrival("/a", ""), false, nil, 0, figpier.RefusalKeyMalformed, ""},
@@ -133,7 +133,7 @@
 			if c != nil {
 				assert.Equal(t, c.Customer(), tt.customer)
 			}
-			assert.Equal(t, r.ranked, 0, "a refused request counts in no fair share")
+			assert.Equal(t, r.ranked, 0, "a refused request must not count towards a fair share")
 		})
 	}
 }
--- a/internal/traffic/handles/doc.go
+++ b/internal/traffic/handles/doc.go
@@ -1,2 +1,3 @@
-// Package handles keeps the live calls of a node under the handles that its backend server presents.
+// Package handles keeps the calls that a node's backend server is running, by the random handles that the backend server
+// presents with its exit calls.
 package handles
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -10,16 +10,17 @@
 	"github.com/figpier/figpier/internal/policy/retry"
 )
 
-// Table implements figpier.Handles.
+// Table maps handles to live calls. It implements figpier.Handles, and ends calls whose key is withdrawn or can no longer be
+// checked.
 type Table struct {
 	clock figpier.Clock
 
 	mu    sync.RWMutex
-	calls map[figpier.Handle]*live
+	calls map[figpier.Handle]*liveCall
 }
 
 // New returns an empty table.
-func New() *Table { return &Table{calls: map[figpier.Handle]*live{}} }
+func New() *Table { return &Table{calls: map[figpier.Handle]*liveCall{}} }
 
 // Name implements figpier.Service.
 func (t *Table) Name() figpier.ServiceName { return figpier.HandleService }
@@ -43,18 +44,18 @@
 // Stop implements figpier.Service.
 func (t *Table) Stop(context.Context) error { return nil }
 
-// Open implements figpier.Handles.
+// Open implements figpier.Handles; the live call's context also ends at the deadline of the call.
 func (t *Table) Open(ctx context.Context, c *figpier.Call) (figpier.Handle, figpier.LiveCall) {
-	caused, end := context.WithCancelCause(ctx)
-	work, cancel := context.WithTimeout(caused, c.Deadline().Sub(t.clock.Now()))
-	l := &live{
-		clock:  t.clock,
-		call:   c,
-		ctx:    work,
-		end:    end,
-		cancel: cancel,
-		budget: retry.NewBudget(c.Budget()),
-		cutOff: figpier.MaxRank,
+	cancellable, cancelCause := context.WithCancelCause(ctx)
+	timed, stopTimer := context.WithTimeout(cancellable, c.Deadline().Sub(t.clock.Now()))
+	l := &liveCall{
+		clock:       t.clock,
+		call:        c,
+		ctx:         timed,
+		cancelCause: cancelCause,
+		stopTimer:   stopTimer,
+		budget:      retry.NewBudget(c.Budget()),
+		cutOff:      figpier.MaxRank,
 	}
 	h := figpier.Handle(rand.Text())
 	t.mu.Lock()
@@ -79,8 +80,8 @@
 	t.mu.Unlock()
 	if ok {
 		l.SealExits()
-		l.cancel()
-		l.end(context.Canceled)
+		l.stopTimer()
+		l.cancelCause(context.Canceled)
 	}
 }
 
@@ -93,18 +94,19 @@
 			continue
 		}
 		if _, ok := c.CustomerOf(l.call.KeyDigest()); !ok {
-			l.end(figpier.Refuse(figpier.RefusalWithdrawn))
+			l.cancelCause(figpier.Refuse(figpier.RefusalWithdrawn))
 		}
 	}
 }
 
-// EndKeyed cancels all live calls that came with a key, because their keys may be withdrawn by now.
+// EndKeyed cancels all live calls that came with a key. It runs when the view has become stale, as their keys may have been
+// withdrawn since.
 func (t *Table) EndKeyed() {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
 		if l.call.Customer() != "" {
-			l.end(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RanSomewhere: true}))
+			l.cancelCause(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RanSomewhere: true}))
 		}
 	}
 }
@@ -116,110 +118,115 @@
 	return len(t.calls)
 }
 
-// live implements figpier.LiveCall.
-type live struct {
-	clock  figpier.Clock
-	call   *figpier.Call
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	cancel context.CancelFunc
-
-	mu     sync.Mutex
-	exits  int
-	open   int
-	opened time.Time
-	below  time.Duration
-	sealed bool
-	budget retry.Budget
-	cutOff figpier.Rank
+// liveCall implements figpier.LiveCall.
+type liveCall struct {
+	clock figpier.Clock
+	call  *figpier.Call
+	ctx   context.Context
+	// cancelCause cancels ctx with a cause, such as a refusal.
+	cancelCause context.CancelCauseFunc
+	// stopTimer cancels ctx and frees the timer of its deadline.
+	stopTimer context.CancelFunc
+
+	mu sync.Mutex // guards the fields below
+	// exitCount is the number of exit calls so far, and openExits the number of those that have not ended.
+	exitCount int
+	openExits int
+	// openSince is when openExits last rose from 0, and exitTime the total of the earlier periods in which it was above 0.
+	openSince time.Time
+	exitTime  time.Duration
+	// exitsSealed means that no further exit call may begin.
+	exitsSealed bool
+	budget      retry.Budget
+	cutOff      figpier.Rank
 }
 
 // Call implements figpier.LiveCall.
-func (l *live) Call() *figpier.Call { return l.call }
+func (l *liveCall) Call() *figpier.Call { return l.call }
 
 // Context implements figpier.LiveCall.
-func (l *live) Context() context.Context { return l.ctx }
+func (l *liveCall) Context() context.Context { return l.ctx }
 
 // BeginExit implements figpier.LiveCall.
-func (l *live) BeginExit() bool {
+func (l *liveCall) BeginExit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sealed {
+	if l.exitsSealed {
 		return false
 	}
-	l.exits++
-	if l.open == 0 {
-		l.opened = l.clock.Now()
+	l.exitCount++
+	if l.openExits == 0 {
+		l.openSince = l.clock.Now()
 	}
-	l.open++
+	l.openExits++
 	return true
 }
 
 // EndExit implements figpier.LiveCall.
-func (l *live) EndExit() {
+func (l *liveCall) EndExit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
-	if l.open == 0 {
-		l.below += l.clock.Now().Sub(l.opened)
+	l.openExits--
+	if l.openExits == 0 {
+		l.exitTime += l.clock.Now().Sub(l.openSince)
 	}
 }
 
 // Below implements figpier.LiveCall.
-func (l *live) Below() time.Duration {
+func (l *liveCall) Below() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open > 0 {
-		return l.below + l.clock.Now().Sub(l.opened)
+	if l.openExits > 0 {
+		return l.exitTime + l.clock.Now().Sub(l.openSince)
 	}
-	return l.below
+	return l.exitTime
 }
 
 // SealExits implements figpier.LiveCall.
-func (l *live) SealExits() int {
+func (l *liveCall) SealExits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sealed = true
-	return l.exits
+	l.exitsSealed = true
+	return l.exitCount
 }
 
 // Exits implements figpier.LiveCall.
-func (l *live) Exits() int {
+func (l *liveCall) Exits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.exits
+	return l.exitCount
 }
 
 // TakeBudget implements figpier.LiveCall.
-func (l *live) TakeBudget(n int) int {
+func (l *liveCall) TakeBudget(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.Take(n)
 }
 
 // ReturnBudget implements figpier.LiveCall.
-func (l *live) ReturnBudget(n int) {
+func (l *liveCall) ReturnBudget(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.budget.Return(n)
 }
 
 // Unused implements figpier.LiveCall.
-func (l *live) Unused() int {
+func (l *liveCall) Unused() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.Unused()
 }
 
 // NoteCutOff implements figpier.LiveCall.
-func (l *live) NoteCutOff(cutOff figpier.Rank) {
+func (l *liveCall) NoteCutOff(cutOff figpier.Rank) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cutOff = min(l.cutOff, cutOff)
 }
 
 // CutOff implements figpier.LiveCall.
-func (l *live) CutOff() figpier.Rank {
+func (l *liveCall) CutOff() figpier.Rank {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cutOff
--- a/internal/traffic/hostgate/doc.go
+++ b/internal/traffic/hostgate/doc.go
@@ -1,2 +1,3 @@
-// Package hostgate decides which callers' requests enter at a node that routes by the routing table.
+// Package hostgate decides which callers' requests are admitted at a node that routes them by host name and path, as the
+// routing table says.
 package hostgate
--- a/internal/traffic/hostgate/gate.go
+++ b/internal/traffic/hostgate/gate.go
@@ -10,16 +10,17 @@
 	"github.com/figpier/figpier/internal/policy/spread"
 )
 
-// notReadyRetry is when a caller may come back to a node that has just started; a node gets its table within a poll.
-const notReadyRetry = time.Second
+// notReadyRetryAfter is the Retry-After of a node that has just started or whose view is stale; a node gets the table with
+// its first poll.
+const notReadyRetryAfter = time.Second
 
-// Config builds a Gate.
+// Config holds the settings of a Gate.
 type Config struct {
-	// Service is the service whose instance the callers run on.
+	// Service is the service on whose instance the callers run; calls carry it as their caller's service.
 	Service figpier.UpstreamService
 }
 
-// Gate implements figpier.Gate.
+// Gate admits requests by the routing table. It implements figpier.Gate.
 type Gate struct {
 	config  Config
 	clock   figpier.Clock
@@ -27,11 +28,11 @@
 	limiter figpier.Limiter
 	ranker  figpier.Ranker
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards spread
 	spread *spread.Table
 }
 
-// New returns a gate that has not started.
+// New returns a gate, to be started by the kernel.
 func New(c Config) *Gate { return &Gate{config: c, spread: spread.New()} }
 
 // Name implements figpier.Service.
@@ -57,7 +58,7 @@
 func (g *Gate) Enter(ctx context.Context, a *figpier.Arrival) (*figpier.Call, error) {
 	t := g.view.Configuration().Table()
 	if t == nil {
-		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNotReady, RetryAfter: notReadyRetry})
+		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNotReady, RetryAfter: notReadyRetryAfter})
 	}
 	route, ok := t.Route(a.Host(), a.Path())
 	if !ok {
@@ -67,7 +68,7 @@
 		RequestID:     a.ID(),
 		Route:         route.Name(),
 		Priority:      route.Priority(),
-		Deadline:      a.Received().Add(lifetime(route, a)),
+		Deadline:      a.Received().Add(requestTimeout(route, a)),
 		Budget:        max(0, route.Attempts()-1),
 		Idempotent:    route.Idempotent(),
 		CallerService: g.config.Service,
@@ -79,8 +80,8 @@
 	if account != nil {
 		c.Customer, c.KeyDigest = account.Customer(), digest
 	}
-	c.Priority = class(t, route, account)
-	if c.Service, err = g.part(route); err != nil {
+	c.Priority = priorityClass(t, route, account)
+	if c.Service, err = g.pickService(route); err != nil {
 		return figpier.NewCall(c), err
 	}
 	if account != nil {
@@ -92,36 +93,39 @@
 	return figpier.NewCall(c), nil
 }
 
-// Layout of a priority class: customers' own classes go before those of routes.
+// In a table with customers, a request's priority class is made of its customer's class and its route's class, of which the
+// customer's weighs more. Class 0, the highest, is for requests without a customer.
 const (
 	routeClasses    = 3
 	customerClasses = 3
 )
 
-// class returns the priority class of a request. In a table with customers a request without one is a call that a backend
-// server makes for a request which was let in before: it goes first, as all work for that request is lost without it.
-func class(t *figpier.Table, r *figpier.HostRoute, a *figpier.Account) figpier.PriorityClass {
+// priorityClass returns the priority class of a request. In a table with customers, a request without one is a call that a
+// backend server makes for a request that was admitted before. It has the highest priority, as refusing it would waste all
+// work done for that request.
+func priorityClass(t *figpier.Table, r *figpier.HostRoute, a *figpier.Account) figpier.PriorityClass {
 	if !t.Keyed() {
 		return r.Priority()
 	}
 	if a == nil {
 		return figpier.HighestPriority
 	}
-	own := min(r.Priority(), routeClasses-1)
-	customer, _ := a.Priority()
-	return 1 + min(customer, customerClasses-1)*routeClasses + own
+	routeClass := min(r.Priority(), routeClasses-1)
+	customerClass, _ := a.Priority()
+	return 1 + min(customerClass, customerClasses-1)*routeClasses + routeClass
 }
 
-// lifetime returns how long a request may take: the route's timeout, or less where its caller waits less.
-func lifetime(r *figpier.HostRoute, a *figpier.Arrival) time.Duration {
+// requestTimeout returns how long a request may take: the route's timeout, or the time that the caller still waits if that
+// is less.
+func requestTimeout(r *figpier.HostRoute, a *figpier.Arrival) time.Duration {
 	if a.Remaining() > 0 && a.Remaining() < r.Timeout() {
 		return a.Remaining()
 	}
 	return r.Timeout()
 }
 
-// part returns the service that takes the next request of a route.
-func (g *Gate) part(r *figpier.HostRoute) (figpier.UpstreamService, error) {
+// pickService picks the service for the next request of a route that may be split by weight over several services.
+func (g *Gate) pickService(r *figpier.HostRoute) (figpier.UpstreamService, error) {
 	if len(r.Parts()) == 1 {
 		return r.Parts()[0].Service(), nil
 	}
@@ -134,7 +138,8 @@
 	return s, nil
 }
 
-// identify returns the account whose key came with the request, nil on a route open to all.
+// identify returns the account whose key came with the request, and the key's digest. The account is nil on an open route and
+// in a table without keys.
 func (g *Gate) identify(t *figpier.Table, r *figpier.HostRoute, a *figpier.Arrival) (*figpier.Account, figpier.KeyDigest, error) {
 	var none figpier.KeyDigest
 	if r.Open() || !t.Keyed() {
@@ -144,9 +149,9 @@
 		return nil, none, figpier.Refuse(figpier.RefusalKeyMissing)
 	}
 	if !g.view.Fresh(g.clock.Now()) {
-		return nil, none, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RetryAfter: notReadyRetry})
+		return nil, none, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RetryAfter: notReadyRetryAfter})
 	}
-	// The table is keyed by digest, so that the time of a lookup tells nothing about the secret.
+	// Keys are looked up by digest, so that the duration of a lookup reveals nothing about the secret.
 	digest := figpier.KeyDigest(sha256.Sum256([]byte(a.Keys()[0])))
 	account, ok := t.AccountOf(digest)
 	if !ok {
