--- a/internal/traffic/cutoffs/doc.go
+++ b/internal/traffic/cutoffs/doc.go
@@ -1,2 +1,2 @@
-// Package cutoffs keeps the cut-offs that answers bring back from the hops below a node.
+// Package cutoffs keeps, for each route, the cut-offs that answers report from the hops below a node.
 package cutoffs
--- a/internal/traffic/cutoffs/table.go
+++ b/internal/traffic/cutoffs/table.go
@@ -9,15 +9,15 @@
 	"github.com/figpier/figpier/internal/policy/cutoff"
 )
 
-// Table implements figpier.CutOffs.
+// Table makes the table of cut-offs a service. It implements figpier.CutOffs and figpier.Explainer.
 type Table struct {
 	clock figpier.Clock
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards policy
 	policy *cutoff.Table
 }
 
-// New returns a table that has not started.
+// New returns an empty table, to be started by the kernel.
 func New() *Table { return &Table{policy: cutoff.New()} }
 
 // Name implements figpier.Service.
@@ -48,7 +48,7 @@
 	return t.policy.CutOff(now, cutoff.NewRoute(c.Service(), c.Route()))
 }
 
-// Bindings implements figpier.Explainer.
+// Bindings implements figpier.Explainer: it returns the routes that have a cut-off.
 func (t *Table) Bindings(now time.Time) []figpier.Binding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/traffic/explanation/doc.go
+++ b/internal/traffic/explanation/doc.go
@@ -1,2 +1,2 @@
-// Package explanation gathers which limits of a node hold requests back, for whom and since when.
+// Package explanation collects which limits of a node are holding requests back, for whom and since when.
 package explanation
--- a/internal/traffic/explanation/explanation.go
+++ b/internal/traffic/explanation/explanation.go
@@ -11,13 +11,14 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Explanation is the figpier.Explainer that asks all others of a node.
+// Explanation is the figpier.Explainer that collects the bindings of all others of a node, and sends them to control
+// instances on request.
 type Explanation struct {
 	clock      figpier.Clock
 	explainers []figpier.Explainer
 }
 
-// New returns an explanation that has not started.
+// New returns an explanation, to be started by the kernel.
 func New() *Explanation { return &Explanation{} }
 
 // Name implements figpier.Service.
@@ -46,12 +47,12 @@
 	if err != nil {
 		return err
 	}
-	m.Handle(figpier.MethodExplain, e.answer)
+	m.Handle(figpier.MethodExplain, e.handleExplain)
 	return nil
 }
 
-// answer tells a control instance which limits bind now.
-func (e *Explanation) answer(context.Context, figpier.Decode) (any, error) {
+// handleExplain handles a control instance's request for the limits that bind now.
+func (e *Explanation) handleExplain(context.Context, figpier.Decode) (any, error) {
 	now := e.clock.Now()
 	a := &message.Explanation{Bindings: []message.Binding{}}
 	for _, b := range e.Bindings(now) {
--- a/internal/traffic/locator/doc.go
+++ b/internal/traffic/locator/doc.go
@@ -1,2 +1,3 @@
-// Package locator finds the primaries of shards by asking the control instances, and remembers them until they stop acting.
+// Package locator finds the primaries of shards by asking the control instances, and caches them until a caller reports that
+// one no longer acts.
 package locator
--- a/internal/traffic/locator/locator.go
+++ b/internal/traffic/locator/locator.go
@@ -13,50 +13,54 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures to find a primary.
+// Error is the class of the errors of failed lookups.
 var Error = errs.Class("shard locator")
 
 const (
-	// askTime bounds one lookup at a control instance.
-	askTime = 500 * time.Millisecond
-	// spacing is the least time between two lookups of one shard.
-	spacing = 200 * time.Millisecond
+	// requestTimeout bounds one lookup at a control instance.
+	requestTimeout = 500 * time.Millisecond
+	// minLookupInterval is the minimum time between two lookups of one shard.
+	minLookupInterval = 200 * time.Millisecond
 )
 
-// Config builds a Locator.
+// Config holds the settings of a Locator.
 type Config struct {
 	// Controls are the message addresses of the control instances.
 	Controls []string
 }
 
-// Locator implements figpier.ShardLocator.
+// Locator caches the message addresses of shards' primaries. It implements figpier.ShardLocator.
 type Locator struct {
 	config    Config
 	clock     figpier.Clock
 	messenger figpier.Messenger
-	work      context.Context
-
-	mu      sync.Mutex
-	first   int
-	known   map[uint32]string
-	lookups map[uint32]*search
-	looked  map[uint32]time.Time
+	// lookupCtx is the context of lookups, which go on after their callers have given up.
+	lookupCtx context.Context
+
+	mu sync.Mutex // guards the fields below
+	// nextControl is the index of the control instance to ask first.
+	nextControl int
+	// primaries has the address of each known primary, by shard.
+	primaries map[uint32]string
+	// pending has the lookups in progress, and lastLookup the start of each shard's last one.
+	pending    map[uint32]*pendingLookup
+	lastLookup map[uint32]time.Time
 }
 
-// search is a lookup that several callers may wait for.
-type search struct {
+// pendingLookup is a lookup that several callers may wait for. Its result may be read once done is closed.
+type pendingLookup struct {
 	done    chan struct{}
 	address string
 	err     error
 }
 
-// New returns a locator that knows no primary.
+// New returns a locator with an empty cache.
 func New(c Config) *Locator {
 	return &Locator{
-		config:  c,
-		known:   map[uint32]string{},
-		lookups: map[uint32]*search{},
-		looked:  map[uint32]time.Time{},
+		config:     c,
+		primaries:  map[uint32]string{},
+		pending:    map[uint32]*pendingLookup{},
+		lastLookup: map[uint32]time.Time{},
 	}
 }
 
@@ -65,7 +69,7 @@
 
 // Start implements figpier.Service.
 func (l *Locator) Start(ctx context.Context, d figpier.Directory) (err error) {
-	l.work = ctx
+	l.lookupCtx = ctx
 	l.clock = d.Clock()
 	l.messenger, err = figpier.FindMessenger(d)
 	return err
@@ -74,9 +78,9 @@
 // Stop implements figpier.Service.
 func (l *Locator) Stop(context.Context) error { return nil }
 
-// Primary implements figpier.ShardLocator.
+// Primary implements figpier.ShardLocator. Concurrent callers share one lookup.
 func (l *Locator) Primary(ctx context.Context, id uint32) (address string, err error) {
-	address, s, err := l.begin(id)
+	address, s, err := l.startLookup(id)
 	if s == nil {
 		return address, err
 	}
@@ -88,58 +92,61 @@
 	}
 }
 
-// begin returns the known address, or else the search for it, or an error soon after the last search.
-func (l *Locator) begin(id uint32) (string, *search, error) {
+// startLookup returns the cached address, or else the lookup in progress, which it starts if there is none. It returns an
+// error if the last lookup of the shard started too recently.
+func (l *Locator) startLookup(id uint32) (string, *pendingLookup, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if address, ok := l.known[id]; ok {
+	if address, ok := l.primaries[id]; ok {
 		return address, nil, nil
 	}
-	s, ok := l.lookups[id]
+	s, ok := l.pending[id]
 	if !ok {
 		now := l.clock.Now()
-		if now.Sub(l.looked[id]) < spacing {
-			return "", nil, Error.New("shard %d was looked up a moment ago", id)
+		if now.Sub(l.lastLookup[id]) < minLookupInterval {
+			return "", nil, Error.New("the last lookup of shard %d was too recent", id)
 		}
-		l.looked[id] = now
-		s = &search{done: make(chan struct{})}
-		l.lookups[id] = s
-		go l.search(id, s)
+		l.lastLookup[id] = now
+		s = &pendingLookup{done: make(chan struct{})}
+		l.pending[id] = s
+		go l.runLookup(id, s)
 	}
 	return "", s, nil
 }
 
-func (l *Locator) search(id uint32, s *search) {
-	s.address, s.err = l.lookup(id)
+// runLookup runs a lookup and stores its result.
+func (l *Locator) runLookup(id uint32, s *pendingLookup) {
+	s.address, s.err = l.askControls(id)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.lookups, id)
+	delete(l.pending, id)
 	if s.err == nil {
-		l.known[id] = s.address
+		l.primaries[id] = s.address
 	}
 	close(s.done)
 }
 
-// lookup asks the control instances in turn, from the one that answered last.
-func (l *Locator) lookup(id uint32) (string, error) {
+// askControls asks the control instances in turn, beginning with the one that answered last.
+func (l *Locator) askControls(id uint32) (string, error) {
 	l.mu.Lock()
-	first := l.first
+	first := l.nextControl
 	l.mu.Unlock()
 	for i := range l.config.Controls {
 		n := (first + i) % len(l.config.Controls)
-		address, err := l.ask(l.config.Controls[n], id)
+		address, err := l.askControl(l.config.Controls[n], id)
 		if err == nil {
 			l.mu.Lock()
-			l.first = n
+			l.nextControl = n
 			l.mu.Unlock()
 			return address, nil
 		}
 	}
-	return "", Error.New("no control instance knows who holds shard %d", id)
+	return "", Error.New("no control instance knows the primary of shard %d", id)
 }
 
-func (l *Locator) ask(control string, id uint32) (string, error) {
-	ctx, cancel := context.WithTimeout(l.work, askTime)
+// askControl looks a shard up at one control instance.
+func (l *Locator) askControl(control string, id uint32) (string, error) {
+	ctx, cancel := context.WithTimeout(l.lookupCtx, requestTimeout)
 	defer cancel()
 	var f message.ShardFound
 	err := l.messenger.Ask(ctx, control, figpier.MethodShardLookup, message.ShardLookup{Shard: int(id)}, &f)
@@ -152,13 +159,13 @@
 	return codec.MemberAddress(shard.MemberID(f.Assignment.Primary)), nil
 }
 
-// Forget implements figpier.ShardLocator.
+// Forget implements figpier.ShardLocator. It does nothing if another address has been found since.
 func (l *Locator) Forget(id uint32, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known[id] == address {
-		delete(l.known, id)
-		// The instance that named the address may be behind.
-		l.first = (l.first + 1) % max(1, len(l.config.Controls))
+	if l.primaries[id] == address {
+		delete(l.primaries, id)
+		// The control instance that returned the address may be behind the others.
+		l.nextControl = (l.nextControl + 1) % max(1, len(l.config.Controls))
 	}
 }
--- a/internal/traffic/ranks/doc.go
+++ b/internal/traffic/ranks/doc.go
@@ -1,2 +1,3 @@
-// Package ranks gives whole requests their place in the order of shedding where they enter.
+// Package ranks assigns each request its rank, the order in which requests are shed under overload, at the node that it
+// enters.
 package ranks
--- a/internal/traffic/ranks/ranker.go
+++ b/internal/traffic/ranks/ranker.go
@@ -9,15 +9,15 @@
 	"github.com/figpier/figpier/internal/policy/rank"
 )
 
-// Ranker implements figpier.Ranker.
+// Ranker makes the rank policy a service. It implements figpier.Ranker.
 type Ranker struct {
 	clock figpier.Clock
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards policy
 	policy *rank.Ranker
 }
 
-// New returns a ranker that has not started.
+// New returns a ranker, to be started by the kernel.
 func New() *Ranker { return &Ranker{policy: rank.New(rank.Config{})} }
 
 // Name implements figpier.Service.
--- a/internal/traffic/retry/doc.go
+++ b/internal/traffic/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry decides whether exit calls are tried again, and holds callers to their retry rate.
+// Package retry decides whether exit calls are retried, and limits how soon callers may retry their requests.
 package retry
--- a/internal/traffic/retry/judge.go
+++ b/internal/traffic/retry/judge.go
@@ -10,29 +10,30 @@
 	"github.com/figpier/figpier/internal/policy/spell"
 )
 
-// Bounds of what the judge explains.
+// Bounds of the record of denied retries: how long a pause ends an entry, and the greatest number of entries.
 const (
-	spellGap  = 2 * time.Second
-	mostSpell = 1000
+	deniedGap = 2 * time.Second
+	maxDenied = 1000
 )
 
-// Judge implements figpier.RetryJudge.
+// Judge makes the retry policy a service. It implements figpier.RetryJudge and figpier.Explainer.
 type Judge struct {
 	clock figpier.Clock
 	view  figpier.ConfigurationView
 
-	mu     sync.Mutex
-	judge  *policy.Judge
-	pacer  *policy.Pacer
+	mu    sync.Mutex // guards the fields below
+	judge *policy.Judge
+	pacer *policy.Pacer
+	// denied records for which customers and services retries are being denied because of the retry share.
 	denied *spell.Table[policy.Pair]
 }
 
-// New returns a judge that has not started.
+// New returns a judge, to be started by the kernel.
 func New() *Judge {
 	return &Judge{
 		judge:  policy.New(),
 		pacer:  policy.NewPacer(),
-		denied: spell.New[policy.Pair](spell.Config{Gap: spellGap, Most: mostSpell}),
+		denied: spell.New[policy.Pair](spell.Config{Gap: deniedGap, Most: maxDenied}),
 	}
 }
 
@@ -63,7 +64,7 @@
 	return l.TakeBudget(b.Portion())
 }
 
-// First implements figpier.RetryJudge.
+// First implements figpier.RetryJudge. A service without a profile has no share of retries.
 func (j *Judge) First(c *figpier.Call) {
 	share := 0.0
 	if p, ok := j.view.Configuration().ProfileOf(c.Service()); ok {
@@ -93,7 +94,7 @@
 	return ok, reason
 }
 
-// Bindings implements figpier.Explainer.
+// Bindings implements figpier.Explainer: it returns the customers and services whose retries are being denied.
 func (j *Judge) Bindings(now time.Time) []figpier.Binding {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/traffic/router/doc.go
+++ b/internal/traffic/router/doc.go
@@ -1,2 +1,2 @@
-// Package router picks the members that a node's exit calls go to.
+// Package router picks the member of a service that a call is sent to. It avoids members that fail or refuse the call's rank.
 package router
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -9,30 +9,31 @@
 	"github.com/figpier/figpier/internal/policy/routing"
 )
 
-// forgetAfter is the time after which an unused member is forgotten.
-const forgetAfter = time.Minute
+// statisticsRetention is how long statistics of an unused member are kept, and the interval at which old ones are dropped.
+const statisticsRetention = time.Minute
 
-// Config builds a Router.
+// Config holds the settings of a Router.
 type Config struct {
 	// DataCentre is where the node runs.
 	DataCentre figpier.DataCentre
 	// Region is where the data centre is.
 	Region figpier.Region
-	// Seed begins the random choices.
+	// Seed is the seed of the random choices.
 	Seed uint64
 }
 
-// Router implements figpier.Router.
+// Router makes the routing policy a service. It implements figpier.Router and figpier.Explainer.
 type Router struct {
 	clock figpier.Clock
 	view  figpier.ConfigurationView
 
-	mu        sync.Mutex
-	policy    *routing.Table
-	forgotten time.Time
+	mu     sync.Mutex // guards the fields below
+	policy *routing.Table
+	// lastCleanup is when statistics of unused members were last dropped.
+	lastCleanup time.Time
 }
 
-// New returns a router that has not started.
+// New returns a router, to be started by the kernel.
 func New(c Config) *Router {
 	return &Router{policy: routing.New(routing.Config{DataCentre: c.DataCentre, Region: c.Region, Seed: c.Seed})}
 }
@@ -79,9 +80,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.End(now, m, members, o.Kind(), cutOff)
-	if now.Sub(r.forgotten) > forgetAfter {
-		r.forgotten = now
-		r.policy.Forget(now, forgetAfter)
+	if now.Sub(r.lastCleanup) > statisticsRetention {
+		r.lastCleanup = now
+		r.policy.Forget(now, statisticsRetention)
 	}
 }
 
@@ -93,7 +94,7 @@
 	return r.policy.CutOff(now, members)
 }
 
-// Bindings implements figpier.Explainer.
+// Bindings implements figpier.Explainer: it returns the ejected members.
 func (r *Router) Bindings(now time.Time) []figpier.Binding {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/traffic/runner/doc.go
+++ b/internal/traffic/runner/doc.go
@@ -1,2 +1,3 @@
-// Package runner takes calls as far as the hand-over to the backend server beside a node.
+// Package runner prepares calls for the backend server beside a node: it waits for a slot, claims non-idempotent requests,
+// and checks again what may have changed meanwhile.
 package runner
--- a/internal/traffic/runner/runner.go
+++ b/internal/traffic/runner/runner.go
@@ -6,7 +6,7 @@
 	"github.com/figpier/figpier"
 )
 
-// Runner implements figpier.Runner.
+// Runner prepares calls for the backend server. It implements figpier.Runner.
 type Runner struct {
 	clock     figpier.Clock
 	view      figpier.ConfigurationView
@@ -16,7 +16,7 @@
 	backend   figpier.Backend
 }
 
-// New returns a runner that has not started.
+// New returns a runner, to be started by the kernel.
 func New() *Runner { return &Runner{} }
 
 // Name implements figpier.Service.
@@ -44,7 +44,7 @@
 // Stop implements figpier.Service.
 func (r *Runner) Stop(context.Context) error { return nil }
 
-// Begin implements figpier.Runner.
+// Begin implements figpier.Runner. It waits for a slot and for a claim no longer than until the call's deadline.
 func (r *Runner) Begin(ctx context.Context, c *figpier.Call) (figpier.Run, error) {
 	if _, err := r.backend.Address(); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	run, err := r.begin(ctx, wait, c, ticket)
+	run, err := r.prepare(ctx, wait, c, ticket)
 	if err != nil {
 		ticket.Release(figpier.NewOutcome(figpier.OutcomeNotRun, 0))
 		return nil, err
@@ -63,18 +63,19 @@
 	return run, nil
 }
 
-func (r *Runner) begin(ctx, wait context.Context, c *figpier.Call, t figpier.Ticket) (*run, error) {
-	if err := r.current(c); err != nil {
+// prepare claims the request and opens its handle, for a call that has a slot. After an error the caller releases the ticket.
+func (r *Runner) prepare(ctx, wait context.Context, c *figpier.Call, t figpier.Ticket) (*run, error) {
+	if err := r.checkStillValid(c); err != nil {
 		return nil, err
 	}
 	claim, err := r.claim(wait, c)
 	if err != nil {
 		return nil, err
 	}
-	// The backend server may have left while the call waited.
+	// The backend server may have drained or stopped while the call waited.
 	address, err := r.backend.Address()
 	if err != nil {
-		abandon(ctx, claim)
+		freeClaim(ctx, claim)
 		return nil, err
 	}
 	handle, live := r.handles.Open(ctx, c)
@@ -86,16 +87,17 @@
 		handle:  handle,
 		live:    live,
 	}
-	// A key that was withdrawn before the handle was open did not end the call.
-	if err := r.current(c); err != nil {
+	// A key that was withdrawn before the handle was open has not ended the call: only calls with a handle are cancelled
+	// then.
+	if err := r.checkStillValid(c); err != nil {
 		run.abandon()
 		return nil, err
 	}
 	return run, nil
 }
 
-// current refuses a call whose key can't be honoured any more.
-func (r *Runner) current(c *figpier.Call) error {
+// checkStillValid refuses a call whose deadline has passed, or whose key has been withdrawn or can no longer be checked.
+func (r *Runner) checkStillValid(c *figpier.Call) error {
 	now := r.clock.Now()
 	if !now.Before(c.Deadline()) {
 		return figpier.Refuse(figpier.RefusalDeadline)
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// claim claims a non-idempotent request; it returns nil for one that is idempotent or has no idempotency key.
 func (r *Runner) claim(ctx context.Context, c *figpier.Call) (figpier.Claim, error) {
 	if c.Idempotent() || c.IdempotencyKey() == "" {
 		return nil, nil
@@ -119,7 +122,7 @@
 	return r.claims.Claim(ctx, c)
 }
 
-// run implements figpier.Run.
+// run implements figpier.Run; claim is nil if the request needs none.
 type run struct {
 	runner  *Runner
 	ticket  figpier.Ticket
@@ -141,14 +144,14 @@
 // Context implements figpier.Run.
 func (r *run) Context() context.Context { return r.live.Context() }
 
-// abandon ends a run before the hand-over; its ticket stays with the caller.
+// abandon ends a run that never reached the backend server. The caller still has to release the ticket.
 func (r *run) abandon() {
 	r.runner.handles.Close(r.handle)
-	abandon(r.live.Context(), r.claim)
+	freeClaim(r.live.Context(), r.claim)
 }
 
-// abandon frees a claim, nil when there is none, whose run never started.
-func abandon(ctx context.Context, c figpier.Claim) {
+// freeClaim frees a claim, which may be nil, of a request that has not run.
+func freeClaim(ctx context.Context, c figpier.Claim) {
 	if c != nil {
 		c.Finish(context.WithoutCancel(ctx), figpier.NewOutcome(figpier.OutcomeNotRun, 0))
 	}
--- a/internal/traffic/shards/fleet_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -34,13 +34,13 @@
 	lossTime    = 10 * time.Second
 )
 
-// bubbleClock tells the time of a test's bubble, which the kernel's own clocks do not follow.
-type bubbleClock struct{ system.Clock }
+// synctestClock returns the fake time of the synctest bubble, which the kernel's own clocks don't follow.
+type synctestClock struct{ system.Clock }
 
 // Now implements figpier.Clock.
-func (bubbleClock) Now() time.Time { return time.Now() }
+func (synctestClock) Now() time.Time { return time.Now() }
 
-// fakeLog implements figpier.ReplicatedLog in memory.
+// fakeLog implements figpier.ReplicatedLog in memory, without replication.
 type fakeLog struct {
 	machine figpier.StateMachine
 	control figpier.ControlThread
@@ -118,19 +118,19 @@
 func (v *fakeView) Configuration() *figpier.Configuration          { return v.configuration }
 func (v *fakeView) Fresh(time.Time) bool                           { return true }
 
-// process is a kernel that runs.
+// process is a running kernel with the services of a node or of the control instance.
 type process struct {
 	link    *link
 	stop    context.CancelFunc
-	killed  bool
+	stopped bool
 	limiter *limiter.Limiter
 	claims  *claims.Claims
 	locator *locator.Locator
 	ended   chan struct{}
 }
 
-// fleet is one control instance and some nodes inside a synctest bubble.
-type fleet struct {
+// cluster is one control instance and some nodes inside a synctest bubble.
+type cluster struct {
 	t       *testing.T
 	network *network
 	control *process
@@ -140,8 +140,8 @@
 	grace time.Duration
 }
 
-func newFleet(t *testing.T, seed uint64, nodes int) *fleet {
-	f := &fleet{t: t, network: newNetwork(seed)}
+func newCluster(t *testing.T, seed uint64, nodes int) *cluster {
+	f := &cluster{t: t, network: newNetwork(seed)}
 	log := &fakeLog{}
 	assigner := controlshards.New(controlshards.Config{
 		Instance:   controlName,
@@ -149,26 +149,26 @@
 		ClockError: 100 * time.Millisecond,
 		LossTime:   lossTime,
 		Backups:    2,
-		Log:        discard(),
+		Log:        discardLog(),
 	})
 	log.Drive(machines.New(machines.Config{Shards: assigner}))
-	f.control = f.run(f.network.link(controlName), log, assigner)
+	f.control = f.startProcess(f.network.link(controlName), log, assigner)
 	for range nodes {
-		f.boot()
+		f.startNode()
 	}
 	time.Sleep(3 * time.Second)
 	return f
 }
 
-func discard() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
 
-// boot starts a node.
-func (f *fleet) boot() *process {
-	address := fmt.Sprintf("node%d", len(f.all()))
+// startNode starts a node.
+func (f *cluster) startNode() *process {
+	address := fmt.Sprintf("node%d", len(f.allNodes()))
 	name := figpier.InstanceID(address)
 	host := shards.New(shards.Config{
 		Instance:   name,
@@ -184,7 +184,7 @@
 	l := limiter.New(limiter.Config{Instance: name, Patience: 100 * time.Millisecond})
 	c := claims.New()
 	finder := locator.New(locator.Config{Controls: []string{controlName}})
-	p := f.run(f.network.link(address), newFakeView(), finder, host, l, c)
+	p := f.startProcess(f.network.link(address), newFakeView(), finder, host, l, c)
 	p.limiter, p.claims, p.locator = l, c, finder
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +192,8 @@
 	return p
 }
 
-func (f *fleet) run(l *link, services ...figpier.Service) *process {
-	k := registry.New(registry.Config{Clock: bubbleClock{}})
+func (f *cluster) startProcess(l *link, services ...figpier.Service) *process {
+	k := registry.New(registry.Config{Clock: synctestClock{}})
 	for _, s := range append([]figpier.Service{l, fakeCounters{}}, services...) {
 		assert.NilError(f.t, k.Register(s))
 	}
@@ -209,55 +209,55 @@
 	return p
 }
 
-// all returns the nodes that ever were.
-func (f *fleet) all() []*process {
+// allNodes returns all nodes, also the stopped ones.
+func (f *cluster) allNodes() []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.nodes)
 }
 
-// retire keeps new requests away from a node.
-func (f *fleet) retire(p *process) {
+// markStopped keeps new requests away from a node.
+func (f *cluster) markStopped(p *process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p.killed = true
+	p.stopped = true
 }
 
-// kill ends a process without a word.
-func (f *fleet) kill(p *process) {
-	f.retire(p)
+// kill ends a process abruptly: its messages are cut off before it stops.
+func (f *cluster) kill(p *process) {
+	f.markStopped(p)
 	p.link.kill()
 	p.stop()
 	<-p.ended
 }
 
-// leave ends a process by a planned stop.
-func (f *fleet) leave(p *process) {
-	f.retire(p)
+// stopGracefully ends a process by a planned stop.
+func (f *cluster) stopGracefully(p *process) {
+	f.markStopped(p)
 	f.grace = time.Second
 	p.stop()
 	<-p.ended
 	f.grace = 0
 }
 
-func (f *fleet) end() {
-	for _, p := range append(f.all(), f.control) {
+func (f *cluster) stopAll() {
+	for _, p := range append(f.allNodes(), f.control) {
 		p.link.kill()
 		p.stop()
 	}
-	for _, p := range append(f.all(), f.control) {
+	for _, p := range append(f.allNodes(), f.control) {
 		<-p.ended
 	}
-	// Messages on their way end.
+	// Lets the messages that are still on their way end.
 	time.Sleep(time.Minute)
 }
 
-// primary returns the node that a shard's primary is said to be.
-func (f *fleet) primary(id shard.ID) *process {
+// primary returns the node that the locator names as a shard's primary.
+func (f *cluster) primary(id shard.ID) *process {
 	f.t.Helper()
-	address, err := f.living()[0].locator.Primary(f.t.Context(), uint32(id))
+	address, err := f.runningNodes()[0].locator.Primary(f.t.Context(), uint32(id))
 	assert.NilError(f.t, err)
-	for _, p := range f.all() {
+	for _, p := range f.allNodes() {
 		if p.link.address == address {
 			return p
 		}
@@ -266,33 +266,33 @@
 	return nil
 }
 
-// living returns the nodes that were not killed.
-func (f *fleet) living() []*process {
+// runningNodes returns the nodes that were neither killed nor stopped.
+func (f *cluster) runningNodes() []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []*process
 	for _, p := range f.nodes {
-		if !p.killed {
+		if !p.stopped {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// tally counts how often each request ran.
-type tally struct {
+// runCounter counts the runs of each request, and the refusals by reason.
+type runCounter struct {
 	mu      sync.Mutex
 	runs    map[figpier.IdempotencyKey]int
 	refused map[figpier.RefusalReason]int
 }
 
-func (c *tally) ran(k figpier.IdempotencyKey) {
+func (c *runCounter) countRun(k figpier.IdempotencyKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[k]++
 }
 
-func (c *tally) refuse(err error) {
+func (c *runCounter) countRefusal(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var r *figpier.Refusal
--- a/internal/traffic/shards/doc.go
+++ b/internal/traffic/shards/doc.go
@@ -1,2 +1,3 @@
-// Package shards holds a node's parts in shards: the buckets of limits and the claims of non-idempotent requests.
+// Package shards holds a node's replicas of shards, which store the token buckets of limits and the claims of non-idempotent
+// requests. The primary of a shard answers for it and replicates claims to the backups; buckets are not replicated.
 package shards
--- a/internal/traffic/shards/failures_test.go
+++ b/internal/traffic/shards/failures_test.go
@@ -17,57 +17,57 @@
 	"github.com/figpier/figpier/internal/policy/shard"
 )
 
-// failure is what befalls a fleet while requests come.
+// failure is a fault that a test injects while requests arrive; victim is a node that acts as a primary.
 type failure struct {
 	name   string
-	strike func(f *fleet, victim *process)
+	inject func(f *cluster, victim *process)
 }
 
 func failures() []failure {
 	return []failure{
-		{"none", func(*fleet, *process) {}},
-		{"primary killed", func(f *fleet, p *process) { f.kill(p) }},
-		{"primary leaves", func(f *fleet, p *process) { f.leave(p) }},
-		{"primary frozen and back", func(_ *fleet, p *process) { p.link.freeze(8 * time.Second) }},
-		{"primary frozen shortly", func(_ *fleet, p *process) { p.link.freeze(1500 * time.Millisecond) }},
-		{"frozen, and its successor killed", func(f *fleet, p *process) {
+		{"none", func(*cluster, *process) {}},
+		{"primary killed", func(f *cluster, p *process) { f.kill(p) }},
+		{"primary leaves", func(f *cluster, p *process) { f.stopGracefully(p) }},
+		{"primary frozen and back", func(_ *cluster, p *process) { p.link.freeze(8 * time.Second) }},
+		{"primary frozen shortly", func(_ *cluster, p *process) { p.link.freeze(1500 * time.Millisecond) }},
+		{"frozen, and its successor killed", func(f *cluster, p *process) {
 			p.link.freeze(9 * time.Second)
 			time.Sleep(4 * time.Second)
-			f.kill(f.living()[3])
+			f.kill(f.runningNodes()[3])
 		}},
-		{"killed, replaced, and another killed", func(f *fleet, p *process) {
+		{"killed, replaced, and another killed", func(f *cluster, p *process) {
 			f.kill(p)
-			f.boot()
+			f.startNode()
 			time.Sleep(6 * time.Second)
-			f.kill(f.living()[1])
+			f.kill(f.runningNodes()[1])
 		}},
-		{"all killed and replaced", func(f *fleet, _ *process) {
-			for _, p := range f.living() {
+		{"all killed and replaced", func(f *cluster, _ *process) {
+			for _, p := range f.runningNodes() {
 				f.kill(p)
 			}
 			for range 3 {
-				f.boot()
+				f.startNode()
 			}
 		}},
-		{"messages lost, late and repeated", func(f *fleet, _ *process) {
-			f.network.set(func(n *network) { n.lossOf, n.repeatOf = 0.05, 0.1 })
+		{"messages lost, late and repeated", func(f *cluster, _ *process) {
+			f.network.configure(func(n *network) { n.lossRate, n.duplicateRate = 0.05, 0.1 })
 		}},
-		{"primary cut from control while a node comes", func(f *fleet, p *process) {
-			f.network.set(func(n *network) {
-				n.severed = func(from, to string) bool {
+		{"primary cut from control while a node comes", func(f *cluster, p *process) {
+			f.network.configure(func(n *network) {
+				n.blocks = func(from, to string) bool {
 					return from == p.link.address && to == controlName || to == p.link.address && from == controlName
 				}
 			})
 			time.Sleep(4 * time.Second)
-			f.boot()
+			f.startNode()
 		}},
-		{"primary cut from backups and then killed", func(f *fleet, p *process) {
-			f.network.set(func(n *network) {
-				n.lose = func(m figpier.Method) bool { return m == figpier.MethodShardWrite }
+		{"primary cut from backups and then killed", func(f *cluster, p *process) {
+			f.network.configure(func(n *network) {
+				n.drops = func(m figpier.Method) bool { return m == figpier.MethodShardWrite }
 			})
 			time.Sleep(900 * time.Millisecond)
 			f.kill(p)
-			f.network.set(func(n *network) { n.lose = func(figpier.Method) bool { return false } })
+			f.network.configure(func(n *network) { n.drops = func(figpier.Method) bool { return false } })
 		}},
 	}
 }
@@ -76,27 +76,27 @@
 	for _, x := range failures() {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { checkRuns(t, x, seed) })
+				synctest.Test(t, func(t *testing.T) { checkRunsAtMostOnce(t, x, seed) })
 			})
 		}
 	}
 }
 
-func checkRuns(t *testing.T, x failure, seed uint64) {
+func checkRunsAtMostOnce(t *testing.T, x failure, seed uint64) {
 	const keys = 60
-	f := newFleet(t, seed, 5)
-	defer f.end()
-	c := &tally{runs: map[figpier.IdempotencyKey]int{}, refused: map[figpier.RefusalReason]int{}}
+	f := newCluster(t, seed, 5)
+	defer f.stopAll()
+	c := &runCounter{runs: map[figpier.IdempotencyKey]int{}, refused: map[figpier.RefusalReason]int{}}
 	var callers sync.WaitGroup
 	for n := range keys {
 		r := rand.New(rand.NewPCG(seed, uint64(n)))
 		callers.Go(func() {
 			time.Sleep(time.Duration(r.IntN(4000)) * time.Millisecond)
-			f.call(c, figpier.IdempotencyKey(fmt.Sprint(n)), r)
+			f.callRepeatedly(c, figpier.IdempotencyKey(fmt.Sprint(n)), r)
 		})
 	}
 	time.Sleep(2 * time.Second)
-	x.strike(f, f.primary(shard.OfClaim(claim.NewKey("c", testService, "0"))))
+	x.inject(f, f.primary(shard.OfClaim(claim.NewKey("c", testService, "0"))))
 	callers.Wait()
 	for k, n := range c.runs {
 		assert.Assert(t, n <= 1, "request %s ran %d times", k, n)
@@ -105,17 +105,17 @@
 	assert.Assert(t, len(c.runs) >= keys/4)
 }
 
-// call sends a request again and again, at any node and at once after each answer or 3 s without one.
-func (f *fleet) call(c *tally, k figpier.IdempotencyKey, r *rand.Rand) {
+// callRepeatedly sends a request 8 times at random nodes, each time after an answer or after up to 3 s without one.
+func (f *cluster) callRepeatedly(c *runCounter, k figpier.IdempotencyKey, r *rand.Rand) {
 	var attempts sync.WaitGroup
 	for range 8 {
-		nodes := f.living()
+		nodes := f.runningNodes()
 		p := nodes[r.IntN(len(nodes))]
-		fate, length := r.IntN(6), time.Duration(r.IntN(1000))*time.Millisecond
+		ending, length := r.IntN(6), time.Duration(r.IntN(1000))*time.Millisecond
 		answered := make(chan struct{})
 		attempts.Go(func() {
 			defer close(answered)
-			f.attempt(c, p, k, fate, length)
+			f.attempt(c, p, k, ending, length)
 		})
 		select {
 		case <-answered:
@@ -125,37 +125,37 @@
 	attempts.Wait()
 }
 
-// attempt does what a node does around the hand-over to its backend server.
-func (f *fleet) attempt(c *tally, p *process, k figpier.IdempotencyKey, fate int, length time.Duration) {
+// attempt claims, runs and finishes a request as a node does with its backend server.
+func (f *cluster) attempt(c *runCounter, p *process, k figpier.IdempotencyKey, ending int, length time.Duration) {
 	call := figpier.NewCall(figpier.CallConfig{Customer: "c", Service: testService, IdempotencyKey: k})
 	ctx, cancel := context.WithTimeout(f.t.Context(), 3*time.Second)
 	defer cancel()
 	granted, err := p.claims.Claim(ctx, call)
 	if err != nil {
-		c.refuse(err)
+		c.countRefusal(err)
 		return
 	}
 	time.Sleep(length)
-	switch fate {
+	switch ending {
 	case 0:
 		granted.Finish(ctx, figpier.NewOutcome(figpier.OutcomeNotRun, 0))
 	case 1:
-		c.ran(k)
+		c.countRun(k)
 		granted.Finish(ctx, figpier.NewOutcome(figpier.OutcomeFailed, 0))
 	case 2:
 		// The node is killed before it records the end.
-		c.ran(k)
+		c.countRun(k)
 	default:
-		c.ran(k)
+		c.countRun(k)
 		granted.Finish(ctx, figpier.NewOutcome(figpier.OutcomeDone, 0))
 	}
 }
 
 func TestTokensStayWithinRateAndBurst(t *testing.T) {
-	lostReports := failure{"token messages lost", func(f *fleet, _ *process) {
+	lostReports := failure{"token messages lost", func(f *cluster, _ *process) {
 		n := 0
-		f.network.set(func(w *network) {
-			w.lose = func(m figpier.Method) bool {
+		f.network.configure(func(w *network) {
+			w.drops = func(m figpier.Method) bool {
 				n++
 				return m == figpier.MethodTokens && n%3 == 0
 			}
@@ -165,21 +165,21 @@
 		for _, c := range []figpier.CustomerID{"quick", "slow"} {
 			for _, load := range []float64{0.8, 4} {
 				t.Run(fmt.Sprintf("%s/%s customer/load %g", x.name, c, load), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { checkTokens(t, x, c, load) })
+					synctest.Test(t, func(t *testing.T) { checkTokenLimit(t, x, c, load) })
 				})
 			}
 		}
 	}
 }
 
-func checkTokens(t *testing.T, x failure, customer figpier.CustomerID, load float64) {
-	f := newFleet(t, 1, 5)
+func checkTokenLimit(t *testing.T, x failure, customer figpier.CustomerID, load float64) {
+	f := newCluster(t, 1, 5)
 	limit := newFakeView().configuration.Profiles()["p"].Limit(customer)
-	defer f.end()
+	defer f.stopAll()
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 14*time.Second)
 	defer cancel()
-	c := &tally{refused: map[figpier.RefusalReason]int{}}
+	c := &runCounter{refused: map[figpier.RefusalReason]int{}}
 	var mu sync.Mutex
 	var spent []time.Duration
 	arrivals := 0
@@ -188,12 +188,12 @@
 		r := rand.New(rand.NewPCG(1, 1))
 		for ctx.Err() == nil {
 			time.Sleep(time.Duration(r.ExpFloat64() / (load * limit.Rate()) * float64(time.Second)))
-			nodes := f.living()
+			nodes := f.runningNodes()
 			p := nodes[r.IntN(len(nodes))]
 			arrivals++
 			callers.Go(func() {
 				if err := p.limiter.Take(t.Context(), customer, testService); err != nil {
-					c.refuse(err)
+					c.countRefusal(err)
 					return
 				}
 				mu.Lock()
@@ -203,17 +203,17 @@
 		}
 	})
 	time.Sleep(3 * time.Second)
-	x.strike(f, f.primary(shard.OfLimit(customer, testService)))
+	x.inject(f, f.primary(shard.OfLimit(customer, testService)))
 	callers.Wait()
-	assert.Equal(t, above(limit, spent), 0, "of %d tokens", len(spent))
+	assert.Equal(t, countOverLimit(limit, spent), 0, "of %d tokens", len(spent))
 	t.Logf("%d arrivals, %d tokens; refusals %v", arrivals, len(spent), c.refused)
 	if x.name == "none" && load < 1 {
 		assert.Assert(t, float64(len(spent)) >= 0.999*float64(arrivals))
 	}
 }
 
-// above counts the spent tokens that one exact bucket would not have given.
-func above(l figpier.Limit, spent []time.Duration) int {
+// countOverLimit returns how many of the spent tokens a single exact token bucket would have refused.
+func countOverLimit(l figpier.Limit, spent []time.Duration) int {
 	slices.Sort(spent)
 	level, last, count := l.Burst(), time.Duration(0), 0
 	for _, at := range spent {
--- a/internal/traffic/shards/host.go
+++ b/internal/traffic/shards/host.go
@@ -14,23 +14,23 @@
 	"github.com/figpier/figpier/internal/wire/codec"
 )
 
-// Error is the class of failures of shards.
+// Error is the class of errors of the shard host.
 var Error = errs.Class("shards")
 
 const (
-	// renewTime is the interval between renewals of the control lease.
-	renewTime = 500 * time.Millisecond
-	// askTime bounds one message to another process.
-	askTime = 700 * time.Millisecond
-	// settleTime bounds how long an answer waits for the backups.
-	settleTime = time.Second
-	// retryTime is the pause after a message that failed.
-	retryTime = 100 * time.Millisecond
-	// silentTime is how long a follower may fail to answer before it is reported.
-	silentTime = time.Second
+	// renewInterval is the interval between renewals of the control lease.
+	renewInterval = 500 * time.Millisecond
+	// requestTimeout bounds the wait for another process to answer a message.
+	requestTimeout = 700 * time.Millisecond
+	// replicationTimeout bounds how long a request waits for the backups.
+	replicationTimeout = time.Second
+	// retryDelay is the pause after a message to a follower has failed.
+	retryDelay = 100 * time.Millisecond
+	// silenceTimeout is how long a follower may fail to answer before it is reported to the control instance.
+	silenceTimeout = time.Second
 )
 
-// Config builds a Host.
+// Config holds the settings of a Host.
 type Config struct {
 	// Instance is the node's name.
 	Instance figpier.InstanceID
@@ -42,17 +42,17 @@
 	Region figpier.Region
 	// Controls are the message addresses of the control instances.
 	Controls []string
-	// TokenLease is the length of a lease of tokens.
+	// TokenLease is how long leased tokens are valid.
 	TokenLease time.Duration
-	// ClockError bounds how far two clocks drift apart during a lease.
+	// ClockError is the greatest drift between two clocks during a lease.
 	ClockError time.Duration
-	// Retention is how long a claim is remembered.
+	// Retention is how long a claim is kept.
 	Retention time.Duration
-	// RunTime is how long a claim stays running before its outcome counts as unknown.
+	// RunTime is how long a claim may be running before its outcome counts as unknown.
 	RunTime time.Duration
 }
 
-// Host is the service that holds a node's parts in shards.
+// Host is the service that holds a node's replicas of shards and handles the messages about them.
 type Host struct {
 	config    Config
 	member    shard.MemberID
@@ -60,28 +60,31 @@
 	control   figpier.ControlThread
 	messenger figpier.Messenger
 	view      figpier.ConfigurationView
-	work      context.Context
-	held      atomic.Pointer[holding]
-	leaving   atomic.Bool
-
-	mu    sync.Mutex
-	parts map[shard.ID]*part
+	// serviceCtx ends when the service is to stop.
+	serviceCtx context.Context
+	// assigned is replaced on the control thread and read by the goroutine that renews the lease.
+	assigned atomic.Pointer[assignmentSet]
+	leaving  atomic.Bool
+
+	mu       sync.Mutex // guards the map, not the replicas
+	replicas map[shard.ID]*shardReplica
 }
 
-// holding is the list of assignments that the last control lease was for.
-type holding struct {
+// assignmentSet is the set of assignments that the last control lease covers; it is never changed once stored.
+type assignmentSet struct {
 	assignments []*shard.Assignment
-	mark        string
+	// mark identifies the set, so that a lease for the same set need not list it again.
+	mark string
 }
 
-// New returns a host without parts, under a name that no other process ever has.
+// New returns a host without replicas. Its member name is unique to this process, also across restarts.
 func New(c Config) *Host {
 	h := &Host{
-		config: c,
-		member: codec.MemberName(c.Address, string(c.Instance), rand.Text()),
-		parts:  map[shard.ID]*part{},
+		config:   c,
+		member:   codec.MemberName(c.Address, string(c.Instance), rand.Text()),
+		replicas: map[shard.ID]*shardReplica{},
 	}
-	h.held.Store(&holding{})
+	h.assigned.Store(&assignmentSet{})
 	return h
 }
 
@@ -90,7 +93,7 @@
 
 // Start implements figpier.Service.
 func (h *Host) Start(ctx context.Context, d figpier.Directory) (err error) {
-	h.work = ctx
+	h.serviceCtx = ctx
 	h.clock = d.Clock()
 	h.control = d.Control()
 	if h.view, err = figpier.FindView(d); err != nil {
@@ -103,74 +106,76 @@
 	if err != nil {
 		return err
 	}
-	c.Gauge("figpier_shards_acting", h.acting)
-	c.Gauge("figpier_claims", h.claims)
-	h.messenger.Handle(figpier.MethodShardWrite, h.receive)
-	h.messenger.Handle(figpier.MethodClaim, h.claim)
-	h.messenger.Handle(figpier.MethodClaimEnd, h.endClaim)
-	h.messenger.Handle(figpier.MethodTokens, h.tokens)
-	go h.renew(ctx)
+	c.Gauge("figpier_shards_acting", h.actingCount)
+	c.Gauge("figpier_claims", h.claimCount)
+	h.messenger.Handle(figpier.MethodShardWrite, h.handleWrite)
+	h.messenger.Handle(figpier.MethodClaim, h.handleClaim)
+	h.messenger.Handle(figpier.MethodClaimEnd, h.handleClaimEnd)
+	h.messenger.Handle(figpier.MethodTokens, h.handleTokens)
+	go h.renewPeriodically(ctx)
 	return nil
 }
 
-// acting returns the number of shards that this node acts for.
-func (h *Host) acting() float64 {
+// actingCount returns the number of shards that this node acts for.
+func (h *Host) actingCount() float64 {
 	n, now := 0, h.clock.Now()
-	for _, p := range h.all() {
-		p.mu.Lock()
-		if p.replica.MayAct(now) {
+	for _, r := range h.allReplicas() {
+		r.mu.Lock()
+		if r.policy.MayAct(now) {
 			n++
 		}
-		p.mu.Unlock()
+		r.mu.Unlock()
 	}
 	return float64(n)
 }
 
-// claims returns the number of claims that this node remembers.
-func (h *Host) claims() float64 {
+// claimCount returns the number of claims that this node remembers.
+func (h *Host) claimCount() float64 {
 	n := 0
-	for _, p := range h.all() {
-		p.mu.Lock()
-		n += p.table.Len()
-		p.mu.Unlock()
+	for _, r := range h.allReplicas() {
+		r.mu.Lock()
+		n += r.table.Len()
+		r.mu.Unlock()
 	}
 	return float64(n)
 }
 
-// Stop implements figpier.Service: the node stops acting, and then says so, so that its shards move at once.
+// Stop implements figpier.Service: the node stops acting for its shards, and then reports that it leaves, so that they are
+// reassigned at once.
 func (h *Host) Stop(ctx context.Context) error {
 	h.leaving.Store(true)
-	for _, p := range h.all() {
-		p.release()
+	for _, r := range h.allReplicas() {
+		r.release()
 	}
-	h.renewOnce(ctx, 0)
+	h.renewAtLeader(ctx, 0)
 	return nil
 }
 
-func (h *Host) all() []*part {
+// allReplicas returns the replicas in no particular order.
+func (h *Host) allReplicas() []*shardReplica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := make([]*part, 0, len(h.parts))
-	for _, p := range h.parts {
-		all = append(all, p)
+	all := make([]*shardReplica, 0, len(h.replicas))
+	for _, r := range h.replicas {
+		all = append(all, r)
 	}
 	return all
 }
 
-// part returns the node's part in a shard, which is empty at first.
-func (h *Host) part(id shard.ID) *part {
+// replica returns the replica of a shard, and creates an empty one if there is none.
+func (h *Host) replica(id shard.ID) *shardReplica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p, ok := h.parts[id]
+	r, ok := h.replicas[id]
 	if !ok {
-		p = newPart(h, id)
-		h.parts[id] = p
+		r = newShardReplica(h, id)
+		h.replicas[id] = r
 	}
-	return p
+	return r
 }
 
-// pause waits for a time or for the end of the context.
-func (h *Host) pause(ctx context.Context, d time.Duration) {
+// sleep waits until the duration has passed or the context ends.
+func (h *Host) sleep(ctx context.Context, d time.Duration) {
 	over := make(chan struct{})
 	cancel := h.clock.AfterFunc(d, func() { close(over) })
 	defer cancel()
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -10,17 +10,18 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// renew keeps the control lease at the control instance that leads.
-func (h *Host) renew(ctx context.Context) {
+// renewPeriodically renews the control lease at the leading control instance until the context ends or the node leaves.
+func (h *Host) renewPeriodically(ctx context.Context) {
 	leader := 0
 	for ctx.Err() == nil && !h.leaving.Load() {
-		leader = h.renewOnce(ctx, leader)
-		h.pause(ctx, renewTime)
+		leader = h.renewAtLeader(ctx, leader)
+		h.sleep(ctx, renewInterval)
 	}
 }
 
-// renewOnce asks the control instances in turn, the given one first, and returns the one that leads.
-func (h *Host) renewOnce(ctx context.Context, first int) (leader int) {
+// renewAtLeader asks the control instances in turn, the given one first, until one leads, and returns its index. If none
+// does, it returns the given index.
+func (h *Host) renewAtLeader(ctx context.Context, first int) (leader int) {
 	for i := range h.config.Controls {
 		n := (first + i) % len(h.config.Controls)
 		if h.renewAt(ctx, h.config.Controls[n]) {
@@ -30,73 +31,76 @@
 	return first
 }
 
-// renewAt reports whether the control instance leads.
+// renewAt sends a renewal to one control instance, and reports whether that one leads.
 func (h *Host) renewAt(ctx context.Context, address string) bool {
-	ask, cancel := context.WithTimeout(ctx, askTime)
+	ask, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	sent := h.clock.Now()
-	held := h.held.Load()
+	assigned := h.assigned.Load()
 	m := message.ShardRenewal{
 		Member:     string(h.member),
 		DataCentre: string(h.config.DataCentre),
 		Region:     string(h.config.Region),
 		Leaving:    h.leaving.Load(),
-		Mark:       held.mark,
-		Reports:    h.reports(held, sent),
+		Mark:       assigned.mark,
+		Reports:    h.followerReports(assigned, sent),
 	}
 	var l message.ShardLease
 	if err := h.messenger.Ask(ask, address, figpier.MethodShardRenew, m, &l); err != nil {
 		return false
 	}
 	if l.Leading {
-		_ = h.control.Post(&leased{sent: sent, held: held, lease: l})
+		_ = h.control.Post(&leaseGranted{sent: sent, assigned: assigned, lease: l})
 	}
 	return l.Leading
 }
 
-// reports tells what this node knows of its followers.
-func (h *Host) reports(held *holding, now time.Time) []message.ShardReport {
+// followerReports returns what this node, as a primary, has to report of its followers in the given assignments.
+func (h *Host) followerReports(assigned *assignmentSet, now time.Time) []message.ShardReport {
 	var reports []message.ShardReport
-	for _, a := range held.assignments {
+	for _, a := range assigned.assignments {
 		if a.Primary() != h.member {
 			continue
 		}
-		if r, ok := h.part(a.Shard()).report(now); ok {
+		if r, ok := h.replica(a.Shard()).followerReport(now); ok {
 			reports = append(reports, r)
 		}
 	}
 	return reports
 }
 
-// leased is a control lease, which is counted from when its renewal was sent.
-type leased struct {
-	sent  time.Time
-	held  *holding
-	lease message.ShardLease
+// leaseGranted is the event of a granted control lease.
+type leaseGranted struct {
+	// sent is when the renewal was sent. The lease counts from then, as the time of the grant is not known here.
+	sent time.Time
+	// assigned is the set of assignments that the renewal named.
+	assigned *assignmentSet
+	lease    message.ShardLease
 }
 
 // Target implements figpier.Event.
-func (*leased) Target() figpier.ServiceName { return figpier.ShardHostService }
+func (*leaseGranted) Target() figpier.ServiceName { return figpier.ShardHostService }
 
-// HandleEvent implements figpier.EventHandler.
+// HandleEvent implements figpier.EventHandler. It applies a granted lease to the replica of each assigned shard.
 func (h *Host) HandleEvent(now time.Time, e figpier.Event) {
-	l, ok := e.(*leased)
+	l, ok := e.(*leaseGranted)
 	if !ok || h.leaving.Load() {
 		return
 	}
-	held := l.held
+	assigned := l.assigned
 	if !l.lease.Same {
-		held = newHolding(l.lease.Shards)
-		h.held.Store(held)
+		assigned = newAssignmentSet(l.lease.Shards)
+		h.assigned.Store(assigned)
 	}
 	until := l.sent.Add(time.Duration(l.lease.LeaseMillis) * time.Millisecond)
-	for _, a := range held.assignments {
-		h.part(a.Shard()).install(a, until, now)
+	for _, a := range assigned.assignments {
+		h.replica(a.Shard()).applyLease(a, until, now)
 	}
 }
 
-func newHolding(wire []message.ShardAssignment) *holding {
-	c := &holding{}
+// newAssignmentSet decodes the assignments of a lease and computes their mark.
+func newAssignmentSet(wire []message.ShardAssignment) *assignmentSet {
+	c := &assignmentSet{}
 	for _, w := range wire {
 		c.assignments = append(c.assignments, codec.ToShardAssignment(w))
 	}
@@ -104,28 +108,29 @@
 	return c
 }
 
-// install takes an assignment and its control lease.
-func (p *part) install(a *shard.Assignment, until, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	switch p.replica.Assign(a) {
+// applyLease applies an assignment and the control lease for it. It empties the state if the assignment starts the shard
+// anew.
+func (r *shardReplica) applyLease(a *shard.Assignment, until, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch r.policy.Assign(a) {
 	case shard.ChangeStart:
-		p.start(time.Time{})
+		r.reset(time.Time{})
 	case shard.ChangeStartAfterLoss:
-		p.start(now)
+		r.reset(now)
 	}
-	p.replica.Leased(a.Epoch(), until)
-	if p.host.leaving.Load() {
-		p.replica.Release()
+	r.policy.Leased(a.Epoch(), until)
+	if r.host.leaving.Load() {
+		r.policy.Release()
 	}
-	p.replicate()
-	p.wake()
+	r.startSenders()
+	r.notifyWaiters()
 }
 
-// release stops acting for the shard.
-func (p *part) release() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.replica.Release()
-	p.wake()
+// release makes this node stop acting for the shard.
+func (r *shardReplica) release() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.policy.Release()
+	r.notifyWaiters()
 }
--- a/internal/traffic/shards/network_test.go
+++ b/internal/traffic/shards/network_test.go
@@ -11,16 +11,16 @@
 	"github.com/figpier/figpier/internal/traffic/shards"
 )
 
-// network carries messages between the processes of a test, and may lose, delay and repeat them.
+// network carries messages between the processes of a test. It can lose, delay, duplicate and block them.
 type network struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	lossOf   float64
-	repeatOf float64
-	delay    time.Duration
-	links    map[string]*link
-	lose     func(m figpier.Method) bool
-	severed  func(from, to string) bool
+	mu            sync.Mutex
+	random        *rand.Rand
+	lossRate      float64
+	duplicateRate float64
+	delay         time.Duration
+	links         map[string]*link
+	drops         func(m figpier.Method) bool
+	blocks        func(from, to string) bool
 }
 
 // link implements figpier.Messenger for one process.
@@ -29,26 +29,26 @@
 	address  string
 	handlers map[figpier.Method]figpier.MessageHandler
 	work     context.Context
-	dead     bool
-	// frozen is closed when the messages to and from the process go on.
-	frozen chan struct{}
+	killed   bool
+	// resumed is closed while messages to and from the process may pass; a freeze replaces it by an open channel.
+	resumed chan struct{}
 }
 
 func newNetwork(seed uint64) *network {
 	return &network{
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		delay:   2 * time.Millisecond,
-		links:   map[string]*link{},
-		lose:    func(figpier.Method) bool { return false },
-		severed: func(string, string) bool { return false },
+		random: rand.New(rand.NewPCG(seed, 0)),
+		delay:  2 * time.Millisecond,
+		links:  map[string]*link{},
+		drops:  func(figpier.Method) bool { return false },
+		blocks: func(string, string) bool { return false },
 	}
 }
 
 func (n *network) link(address string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &link{network: n, address: address, handlers: map[figpier.Method]figpier.MessageHandler{}, frozen: make(chan struct{})}
-	close(l.frozen)
+	l := &link{network: n, address: address, handlers: map[figpier.Method]figpier.MessageHandler{}, resumed: make(chan struct{})}
+	close(l.resumed)
 	n.links[address] = l
 	return l
 }
@@ -67,41 +67,41 @@
 func (l *link) kill() {
 	l.network.mu.Lock()
 	defer l.network.mu.Unlock()
-	l.dead = true
+	l.killed = true
 }
 
-// freeze holds the messages to and from the process for a time.
+// freeze holds back the messages to and from the process for a time.
 func (l *link) freeze(d time.Duration) {
 	l.network.mu.Lock()
 	defer l.network.mu.Unlock()
 	held := make(chan struct{})
-	l.frozen = held
+	l.resumed = held
 	time.AfterFunc(d, func() { close(held) })
 }
 
-// fate draws whether a message is lost, how late it is and whether it is repeated.
-func (n *network) fate(m figpier.Method, from, to string) (lost, repeated bool, late time.Duration) {
+// drawDelivery draws at random whether a message is lost, whether it is duplicated and how late it is.
+func (n *network) drawDelivery(m figpier.Method, from, to string) (lost, repeated bool, late time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	late = time.Duration(1 + n.random.Int64N(int64(n.delay)))
-	if n.random.Float64() < 0.01 && n.lossOf > 0 {
+	if n.random.Float64() < 0.01 && n.lossRate > 0 {
 		late *= 200
 	}
-	lost = n.random.Float64() < n.lossOf || n.lose(m) || n.severed(from, to)
-	return lost, n.random.Float64() < n.repeatOf, late
+	lost = n.random.Float64() < n.lossRate || n.drops(m) || n.blocks(from, to)
+	return lost, n.random.Float64() < n.duplicateRate, late
 }
 
-// set changes the network while messages pass.
-func (n *network) set(change func(n *network)) {
+// configure changes the network's settings under its lock.
+func (n *network) configure(change func(n *network)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(n)
 }
 
-// pass waits until a message may pass a process, and reports false when it never will.
-func (l *link) pass(ctx context.Context) bool {
+// waitWhileFrozen waits until messages of the process may pass, and returns false if it is killed or the context ends.
+func (l *link) waitWhileFrozen(ctx context.Context) bool {
 	l.network.mu.Lock()
-	frozen, dead := l.frozen, l.dead
+	frozen, dead := l.resumed, l.killed
 	l.network.mu.Unlock()
 	if dead {
 		return false
@@ -123,7 +123,7 @@
 	to, ok := l.network.links[address]
 	l.network.mu.Unlock()
 	answered := make(chan []byte, 2)
-	lost, repeated, late := l.network.fate(m, l.address, address)
+	lost, repeated, late := l.network.drawDelivery(m, l.address, address)
 	if ok && !lost {
 		go l.deliver(to, m, data, late, answered)
 		if repeated {
@@ -138,10 +138,10 @@
 	}
 }
 
-// deliver takes a message to its process and the answer back, however late the asker gave up.
+// deliver carries a message to its process and the answer back, even if the sender has stopped waiting.
 func (l *link) deliver(to *link, m figpier.Method, data []byte, late time.Duration, answered chan<- []byte) {
 	time.Sleep(late)
-	if !l.pass(l.work) || !to.pass(l.work) || to.work == nil || to.work.Err() != nil {
+	if !l.waitWhileFrozen(l.work) || !to.waitWhileFrozen(l.work) || to.work == nil || to.work.Err() != nil {
 		return
 	}
 	h, ok := to.handlers[m]
@@ -152,9 +152,9 @@
 	if err != nil {
 		return
 	}
-	lost, _, late := l.network.fate(m, to.address, l.address)
+	lost, _, late := l.network.drawDelivery(m, to.address, l.address)
 	time.Sleep(late)
-	if lost || !to.pass(l.work) || !l.pass(l.work) {
+	if lost || !to.waitWhileFrozen(l.work) || !l.waitWhileFrozen(l.work) {
 		return
 	}
 	if text, err := json.Marshal(a); err == nil {
--- a/internal/traffic/shards/replication.go
+++ b/internal/traffic/shards/replication.go
@@ -11,56 +11,57 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// write replicates the record of a claim.
-func (p *part) write(k claim.Key) {
-	p.replica.Write(k[:])
-	p.replicate()
+// replicateClaim adds a claim's record to the replicated writes. The caller holds the lock.
+func (r *shardReplica) replicateClaim(k claim.Key) {
+	r.policy.Write(k[:])
+	r.startSenders()
 }
 
-// replicate makes sure that each follower that lacks something is sent it.
-func (p *part) replicate() {
-	for _, m := range p.replica.Followers() {
-		if p.senders[m] != nil {
+// startSenders starts a sender for each follower that lacks writes and has none. The caller holds the lock.
+func (r *shardReplica) startSenders() {
+	for _, m := range r.policy.Followers() {
+		if r.senders[m] != nil {
 			continue
 		}
-		if _, due := p.replica.Next(m); !due {
+		if _, due := r.policy.Next(m); !due {
 			continue
 		}
 		s := &sender{}
-		p.senders[m] = s
-		go p.send(m, s)
+		r.senders[m] = s
+		go r.runSender(m, s)
 	}
 }
 
-// send sends a follower what it lacks, one message at a time, until it lacks nothing.
-func (p *part) send(m shard.MemberID, s *sender) {
-	ctx := p.host.work
+// runSender is the goroutine of a sender: it sends a follower the writes that it lacks, one message at a time, until it has
+// all.
+func (r *shardReplica) runSender(m shard.MemberID, s *sender) {
+	ctx := r.host.serviceCtx
 	for ctx.Err() == nil {
-		c, w, due := p.next(m)
+		c, w, due := r.nextWrite(m)
 		if !due {
 			return
 		}
-		if !p.sendOnce(ctx, m, s, c, w) {
-			p.host.pause(ctx, retryTime)
+		if !r.sendWrite(ctx, m, s, c, w) {
+			r.host.sleep(ctx, retryDelay)
 		}
 	}
 }
 
-// next returns the message that a follower needs, or ends its sender.
-func (p *part) next(m shard.MemberID) (shard.MessageConfig, *message.ShardWrite, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c, due := p.replica.Next(m)
+// nextWrite returns the next message for a follower. If the follower has all writes, it removes the sender and returns false.
+func (r *shardReplica) nextWrite(m shard.MemberID) (shard.MessageConfig, *message.ShardWrite, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c, due := r.policy.Next(m)
 	if !due {
-		delete(p.senders, m)
+		delete(r.senders, m)
 		return c, nil, false
 	}
-	return c, p.encode(m, c), true
+	return c, r.encodeWrite(m, c), true
 }
 
-// encode adds the records to a message.
-func (p *part) encode(m shard.MemberID, c shard.MessageConfig) *message.ShardWrite {
-	now := p.host.clock.Now()
+// encodeWrite builds the message with its claim records: all of them where the follower needs the whole state.
+func (r *shardReplica) encodeWrite(m shard.MemberID, c shard.MessageConfig) *message.ShardWrite {
+	now := r.host.clock.Now()
 	w := &message.ShardWrite{
 		To:       string(m),
 		Shard:    int(c.Shard),
@@ -69,63 +70,63 @@
 		Origin:   int(c.Origin),
 		Sequence: int(c.Sequence),
 		Whole:    c.Whole,
-		Lost:     !p.lost.IsZero(),
+		Lost:     !r.lostBefore.IsZero(),
 	}
 	if w.Lost {
-		w.LostMillis = int(now.Sub(p.lost).Milliseconds())
+		w.LostMillis = int(now.Sub(r.lostBefore).Milliseconds())
 	}
 	add := func(k claim.Key, e claim.Entry) bool {
 		w.Claims = append(w.Claims, codec.FromClaimEntry(k, e, now))
 		return true
 	}
 	if c.Whole {
-		p.table.Each(add)
+		r.table.Each(add)
 		return w
 	}
 	k := claim.Key(c.Payload)
-	if e, ok := p.table.Entry(k); ok {
+	if e, ok := r.table.Entry(k); ok {
 		add(k, e)
 	}
 	return w
 }
 
-// sendOnce reports whether the follower took the message.
-func (p *part) sendOnce(ctx context.Context, m shard.MemberID, s *sender, c shard.MessageConfig, w *message.ShardWrite) bool {
-	ask, cancel := context.WithTimeout(ctx, askTime)
+// sendWrite sends a follower one message and reports whether the follower has its writes now.
+func (r *shardReplica) sendWrite(ctx context.Context, m shard.MemberID, s *sender, c shard.MessageConfig, w *message.ShardWrite) bool {
+	ask, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var a message.ShardWritten
-	err := p.host.messenger.Ask(ask, codec.MemberAddress(m), figpier.MethodShardWrite, w, &a)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	err := r.host.messenger.Ask(ask, codec.MemberAddress(m), figpier.MethodShardWrite, w, &a)
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if err != nil {
-		if s.silent.IsZero() {
-			s.silent = p.host.clock.Now()
+		if s.silentSince.IsZero() {
+			s.silentSince = r.host.clock.Now()
 		}
 		return false
 	}
-	s.silent = time.Time{}
-	p.replica.Answered(m, c.Epoch, shard.AnswerConfig{
+	s.silentSince = time.Time{}
+	r.policy.Answered(m, c.Epoch, shard.AnswerConfig{
 		Epoch:    shard.Epoch(a.Epoch),
 		Stream:   shard.Epoch(a.Stream),
 		Sequence: uint64(a.Sequence),
 	})
-	p.wake()
+	r.notifyWaiters()
 	return shard.Epoch(a.Stream) == c.Stream && uint64(a.Sequence) >= c.Sequence
 }
 
-// receive takes a write from a primary.
-func (h *Host) receive(_ context.Context, decode figpier.Decode) (any, error) {
+// handleWrite handles a write from a primary. A write to an earlier process at this address is an error.
+func (h *Host) handleWrite(_ context.Context, decode figpier.Decode) (any, error) {
 	var w message.ShardWrite
 	if err := decode(&w); err != nil {
 		return nil, err
 	}
 	if w.To != string(h.member) {
-		return nil, Error.New("the write is for %s, which has ended", w.To)
+		return nil, Error.New("the write is for member %s, which has ended", w.To)
 	}
-	p := h.part(shard.ID(w.Shard))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, apply := p.replica.Receive(shard.MessageConfig{
+	r := h.replica(shard.ID(w.Shard))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	a, apply := r.policy.Receive(shard.MessageConfig{
 		Shard:    shard.ID(w.Shard),
 		Epoch:    shard.Epoch(w.Epoch),
 		Stream:   shard.Epoch(w.Stream),
@@ -134,23 +135,24 @@
 		Whole:    w.Whole,
 	})
 	if apply {
-		p.apply(w, h.clock.Now())
+		r.applyWrite(w, h.clock.Now())
 	}
-	p.wake()
+	r.notifyWaiters()
 	return &message.ShardWritten{Epoch: int(a.Epoch), Stream: int(a.Stream), Sequence: int(a.Sequence)}, nil
 }
 
-func (p *part) apply(w message.ShardWrite, now time.Time) {
+// applyWrite stores the claims of a write, after emptying the state where the write carries the whole of it.
+func (r *shardReplica) applyWrite(w message.ShardWrite, now time.Time) {
 	if w.Whole {
 		var lost time.Time
 		if w.Lost {
 			lost = now.Add(-time.Duration(w.LostMillis) * time.Millisecond)
 		}
-		p.start(lost)
+		r.reset(lost)
 	}
-	for _, r := range w.Claims {
-		if k, ok := codec.ToClaimKey(r.Key); ok {
-			p.table.Put(k, codec.ToClaimEntry(r, now))
+	for _, record := range w.Claims {
+		if k, ok := codec.ToClaimKey(record.Key); ok {
+			r.table.Put(k, codec.ToClaimEntry(record, now))
 		}
 	}
 }
