--- a/internal/traffic/backend/announce.go
+++ b/internal/traffic/backend/announce.go
@@ -24,28 +24,36 @@
 	maxSlots             = 1 << 16
 )
 
-// announcement is what traffic threads know of the backend server.
-type announcement struct {
-	address  string
-	slots    int
-	draining bool
-	leaving  bool
-	until    time.Time
+// backendState is the state that traffic threads read; it is never changed once published.
+type backendState struct {
+	// address is the backend server's address, empty while it is unknown.
+	address string
+	slots   int
+	// drained means that no new work is accepted.
+	drained bool
+	// leaving means that the node has announced that it leaves.
+	leaving bool
+	// expires is when the announcement expires.
+	expires time.Time
 }
 
-// state is the control state of the announcements.
-type state struct {
-	announcement announcement
-	incarnation  string
-	drained      bool
-	leaving      bool
-	closed       bool
-	told         figpier.MemberConfig
-	sequence     uint64
-	cancel       func()
-	cancelDrain  func()
+// controlState is the state that belongs to the control thread.
+type controlState struct {
+	backend     backendState
+	incarnation string
+	// draining means that the backend server has begun to drain, also while the notice still runs.
+	draining bool
+	leaving  bool
+	closed   bool
+	// lastMember is the entry that the node announced last, and sequence the number of entries announced so far.
+	lastMember figpier.MemberConfig
+	sequence   uint64
+	// cancelExpiry and cancelNotice stop the timers of the expiry and of the drain notice; nil means that there is no timer.
+	cancelExpiry func()
+	cancelNotice func()
 }
 
+// announced carries an announcement of the backend server.
 type announced struct {
 	address     string
 	slots       int
@@ -55,124 +63,129 @@
 // Target implements figpier.Event.
 func (announced) Target() figpier.ServiceName { return figpier.BackendService }
 
-type drained struct{}
+// drainRequested is the backend server's notice that it drains.
+type drainRequested struct{}
 
 // Target implements figpier.Event.
-func (drained) Target() figpier.ServiceName { return figpier.BackendService }
+func (drainRequested) Target() figpier.ServiceName { return figpier.BackendService }
 
-// drainOver ends the notice that other nodes have of a drain.
-type drainOver struct{}
+// noticeOver ends the period in which a draining backend server still accepts new work.
+type noticeOver struct{}
 
 // Target implements figpier.Event.
-func (drainOver) Target() figpier.ServiceName { return figpier.BackendService }
+func (noticeOver) Target() figpier.ServiceName { return figpier.BackendService }
 
-type leaving struct{}
+// leaveRequested makes the node announce that it leaves.
+type leaveRequested struct{}
 
 // Target implements figpier.Event.
-func (leaving) Target() figpier.ServiceName { return figpier.BackendService }
+func (leaveRequested) Target() figpier.ServiceName { return figpier.BackendService }
 
-type closed struct{ done chan struct{} }
+// closeRequested makes the node refuse all new work; done is closed once that is published.
+type closeRequested struct{ done chan struct{} }
 
 // Target implements figpier.Event.
-func (closed) Target() figpier.ServiceName { return figpier.BackendService }
+func (closeRequested) Target() figpier.ServiceName { return figpier.BackendService }
 
-type silent struct{}
+// announcementExpired is posted when an announcement may have expired.
+type announcementExpired struct{}
 
 // Target implements figpier.Event.
-func (silent) Target() figpier.ServiceName { return figpier.BackendService }
+func (announcementExpired) Target() figpier.ServiceName { return figpier.BackendService }
 
 // HandleEvent implements figpier.EventHandler.
 func (s *Server) HandleEvent(now time.Time, e figpier.Event) {
 	switch e := e.(type) {
 	case announced:
-		s.renew(now, e)
-	case drained:
-		s.drainAfterNotice()
-	case drainOver:
-		s.state.announcement.draining = s.state.drained
-	case leaving:
+		s.onAnnounced(now, e)
+	case drainRequested:
+		s.startDrain()
+	case noticeOver:
+		s.state.backend.drained = s.state.draining
+	case leaveRequested:
 		s.state.leaving = true
-	case closed:
+	case closeRequested:
 		s.state.closed = true
 		defer close(e.done)
-	case silent:
-		if now.Before(s.state.announcement.until) {
+	case announcementExpired:
+		if now.Before(s.state.backend.expires) {
 			return
 		}
-		s.state.announcement = announcement{}
+		s.state.backend = backendState{}
 		s.admission.Resize(0)
 	}
 	s.publish()
 }
 
-func (s *Server) renew(now time.Time, e announced) {
-	a := &s.state.announcement
+// onAnnounced applies an announcement. One of another backend server ends the drain of the previous one.
+func (s *Server) onAnnounced(now time.Time, e announced) {
+	a := &s.state.backend
 	if a.address != e.address || s.state.incarnation != e.incarnation {
-		s.endDrain()
+		s.cancelDrain()
 		s.admission.Resize(0)
 	}
 	s.state.incarnation = e.incarnation
 	a.address = e.address
 	a.slots = e.slots
-	a.until = now.Add(s.config.Announcement)
-	if s.state.cancel != nil {
-		s.state.cancel()
+	a.expires = now.Add(s.config.Announcement)
+	if s.state.cancelExpiry != nil {
+		s.state.cancelExpiry()
 	}
-	s.state.cancel = s.control.PostAfter(s.config.Announcement, silent{})
+	s.state.cancelExpiry = s.control.PostAfter(s.config.Announcement, announcementExpired{})
 	s.admission.Resize(e.slots)
 }
 
-// drainAfterNotice tells other nodes at once and refuses new work once they have had time to learn.
-func (s *Server) drainAfterNotice() {
-	if s.state.drained {
+// startDrain announces the drain to other nodes at once, and refuses new work once the notice is over.
+func (s *Server) startDrain() {
+	if s.state.draining {
 		return
 	}
-	s.state.drained = true
-	s.state.cancelDrain = s.control.PostAfter(s.config.Notice, drainOver{})
+	s.state.draining = true
+	s.state.cancelNotice = s.control.PostAfter(s.config.Notice, noticeOver{})
 }
 
-// endDrain takes work again for another backend server than the one that drained.
-func (s *Server) endDrain() {
-	s.state.drained = false
-	s.state.announcement.draining = false
-	if s.state.cancelDrain != nil {
-		s.state.cancelDrain()
-		s.state.cancelDrain = nil
+// cancelDrain ends a drain and accepts new work again, as another backend server has announced itself.
+func (s *Server) cancelDrain() {
+	s.state.draining = false
+	s.state.backend.drained = false
+	if s.state.cancelNotice != nil {
+		s.state.cancelNotice()
+		s.state.cancelNotice = nil
 	}
 }
 
-// publish shows the state to traffic threads, and announces the node when what it announces has changed.
+// publish makes the state visible to traffic threads, and announces the node if its entry has changed.
 func (s *Server) publish() {
-	a := s.state.announcement
-	a.draining = a.draining || s.state.closed
+	a := s.state.backend
+	a.drained = a.drained || s.state.closed
 	a.leaving = s.state.leaving
 	s.current.Store(&a)
 	m := s.config.Member
 	m.Slots = a.slots
-	m.Draining = s.state.drained || s.state.leaving || a.address == ""
-	if m == s.state.told && s.state.sequence > 0 {
+	m.Draining = s.state.draining || s.state.leaving || a.address == ""
+	if m == s.state.lastMember && s.state.sequence > 0 {
 		return
 	}
-	s.state.told = m
+	s.state.lastMember = m
 	s.state.sequence++
 	m.Sequence += s.state.sequence
 	s.view.Announce(figpier.NewMember(m))
 }
 
-// Address implements figpier.Backend.
+// Address implements figpier.Backend: it refuses while the backend server is unknown or no longer accepts work.
 func (s *Server) Address() (string, error) {
 	a := s.current.Load()
 	switch {
-	case a == nil || a.address == "" || !s.clock.Now().Before(a.until):
+	case a == nil || a.address == "" || !s.clock.Now().Before(a.expires):
 		return "", figpier.Refuse(figpier.RefusalNoBackend)
-	case a.draining:
+	case a.drained:
 		return "", figpier.Refuse(figpier.RefusalLeaving)
 	}
 	return a.address, nil
 }
 
 // Leave implements figpier.Backend.
-func (s *Server) Leave() { _ = s.control.Post(leaving{}) }
+func (s *Server) Leave() { _ = s.control.Post(leaveRequested{}) }
 
 // Leaving implements figpier.Backend.
 func (s *Server) Leaving() bool {
@@ -180,28 +193,29 @@
 	return a != nil && a.leaving
 }
 
-// Close implements figpier.Backend.
+// Close implements figpier.Backend; it returns once the control thread has published the change.
 func (s *Server) Close() {
 	done := make(chan struct{})
-	if err := s.control.Post(closed{done: done}); err == nil {
+	if err := s.control.Post(closeRequested{done: done}); err == nil {
 		<-done
 	}
 }
 
+// handler serves exit calls, which it tells by their host name, and the paths of announcements.
 func (s *Server) handler() http.Handler {
-	own := http.NewServeMux()
-	own.HandleFunc("POST "+pathAnnounce, s.announce)
-	own.HandleFunc("POST "+pathDrain, s.drain)
+	announcements := http.NewServeMux()
+	announcements.HandleFunc("POST "+pathAnnounce, s.handleAnnounce)
+	announcements.HandleFunc("POST "+pathDrain, s.handleDrain)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.Host, figpier.ExitSuffix) {
 			s.exit.ServeHTTP(w, r)
 			return
 		}
-		own.ServeHTTP(w, r)
+		announcements.ServeHTTP(w, r)
 	})
 }
 
-func (s *Server) announce(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	e, err := parseAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err != nil {
 		s.refuse(w, nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalMalformed, Detail: err.Error()}))
@@ -211,13 +225,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// parseAnnouncement decodes and validates an announcement.
 func parseAnnouncement(body io.Reader) (announced, error) {
 	var b message.Announcement
 	if err := json.NewDecoder(body).Decode(&b); err != nil {
 		return announced{}, Error.New("announcement: %w", err)
 	}
 	if _, err := netip.ParseAddrPort(b.Address); err != nil {
-		return announced{}, Error.New("announcement: address %q is no IP address with a port", b.Address)
+		return announced{}, Error.New("announcement: address %q is not an IP address with a port", b.Address)
 	}
 	if b.Slots < 1 || b.Slots > maxSlots {
 		return announced{}, Error.New("announcement: slots must be from 1 to %d", maxSlots)
@@ -229,7 +244,7 @@
 	return e, nil
 }
 
-func (s *Server) drain(w http.ResponseWriter, _ *http.Request) {
-	_ = s.control.Post(drained{})
+func (s *Server) handleDrain(w http.ResponseWriter, _ *http.Request) {
+	_ = s.control.Post(drainRequested{})
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -11,13 +11,13 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// ServeCall implements figpier.CallServer.
+// ServeCall implements figpier.CallServer. What is left of the retry budget, and the cut-offs, go back with the headers.
 func (s *Server) ServeCall(w http.ResponseWriter, r *http.Request, c *figpier.Call) {
 	defer web.Bound(w, c.Deadline().Sub(s.clock.Now()))()
 	w.Header().Set(figpier.HeaderRequestID, string(c.RequestID()))
 	run, err := s.runner.Begin(r.Context(), c)
 	if err != nil {
-		s.bringHome(w, c, c.Budget(), figpier.MaxRank)
+		s.setResultHeaders(w, c, c.Budget(), figpier.MaxRank)
 		s.refuse(w, c, web.AsRefusal(err))
 		return
 	}
@@ -36,26 +36,27 @@
 	answer, err := s.roundTrip(out)
 	if err != nil {
 		kind = failureKind(attempt, run.Context())
-		s.bringHome(w, c, live.TakeBudget(c.Budget()), live.CutOff())
-		s.refuse(w, c, s.failure(kind, attempt, run.Context(), err))
+		s.setResultHeaders(w, c, live.TakeBudget(c.Budget()), live.CutOff())
+		s.refuse(w, c, s.failureRefusal(kind, attempt, run.Context(), err))
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
-	kind = s.mark(w, answer, c, live)
-	s.bringHome(w, c, live.TakeBudget(c.Budget()), live.CutOff())
+	kind = s.passNotRunMark(w, answer, c, live)
+	s.setResultHeaders(w, c, live.TakeBudget(c.Budget()), live.CutOff())
 	web.Overlap(w, r, attempt)
 	if err := writeAnswer(run.Context(), w, answer); err != nil {
 		kind = failureKind(attempt, run.Context())
-		// A broken answer must not look like a short whole one.
+		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// roundTrip returns the head of an answer whose end can be told from a broken connection.
+// roundTrip sends a request and returns its answer. It refuses an answer with neither a length nor chunks, as the end of
+// such an answer can't be told from a broken connection.
 func (s *Server) roundTrip(out *http.Request) (*http.Response, error) {
 	answer, err := s.transport.RoundTrip(out)
 	if err != nil {
-		s.dropSilent(out.Context())
+		s.closeIdleAfterTimeout(out.Context())
 		return nil, err
 	}
 	if out.Method != http.MethodHead && !web.Framed(answer) {
@@ -65,21 +66,23 @@
 	return answer, nil
 }
 
-// dropSilent closes the idle connections after a timeout, because whatever lost track of one may have lost more.
-func (s *Server) dropSilent(ctx context.Context) {
+// closeIdleAfterTimeout closes all idle connections after a timeout, because what made one connection fail silently, such as
+// a middlebox that dropped its state, may have hit others.
+func (s *Server) closeIdleAfterTimeout(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		s.transport.CloseIdleConnections()
 	}
 }
 
-// writeAnswer streams an answer until the request ends, also to a caller that does not read it.
+// writeAnswer streams an answer. It stops when the request ends, even while blocked on a caller that does not read.
 func writeAnswer(ctx context.Context, w http.ResponseWriter, answer *http.Response) error {
 	defer web.AbortWith(ctx, w)()
 	return web.WriteAnswer(w, answer)
 }
 
-// mark passes a backend server's "not run" mark on where no evidence is against it, and sees to it that none arises.
-func (s *Server) mark(w http.ResponseWriter, answer *http.Response, c *figpier.Call, l figpier.LiveCall) figpier.OutcomeKind {
+// passNotRunMark passes on a backend server's "not run" mark, and returns the outcome. A request that has made exit calls
+// has run in part, so its mark is not believed; from then on it may make no exit calls.
+func (s *Server) passNotRunMark(w http.ResponseWriter, answer *http.Response, c *figpier.Call, l figpier.LiveCall) figpier.OutcomeKind {
 	if answer.Header.Get(figpier.HeaderNotRun) != figpier.NotRunMark {
 		return figpier.OutcomeDone
 	}
@@ -96,24 +99,27 @@
 	return figpier.OutcomeOverloaded
 }
 
-// bringHome tells the node that made the call how many extra attempts are left, the cut-off here, and the lowest one below.
-func (s *Server) bringHome(w http.ResponseWriter, c *figpier.Call, unused int, below figpier.Rank) {
+// setResultHeaders sets the headers that tell the calling node how many extra attempts are left, this node's cut-off, and
+// the lowest cut-off of the nodes further down. A request that came from outside, at depth 0, gets none.
+func (s *Server) setResultHeaders(w http.ResponseWriter, c *figpier.Call, unused int, below figpier.Rank) {
 	if c.Depth() == 0 {
 		return
 	}
 	w.Header().Set(figpier.HeaderBudget, strconv.Itoa(unused))
-	w.Header().Set(figpier.HeaderCutOff, rankText(s.admission.CutOff()))
-	w.Header().Set(figpier.HeaderTreeCutOff, rankText(min(below, s.cutOffs.CutOff(c))))
+	w.Header().Set(figpier.HeaderCutOff, formatRank(s.admission.CutOff()))
+	w.Header().Set(figpier.HeaderTreeCutOff, formatRank(min(below, s.cutOffs.CutOff(c))))
 }
 
-func rankText(r figpier.Rank) string { return strconv.FormatUint(uint64(r), 10) }
+func formatRank(r figpier.Rank) string { return strconv.FormatUint(uint64(r), 10) }
 
+// refuse counts and logs a refusal, and answers with it. The call may be nil.
 func (s *Server) refuse(w http.ResponseWriter, c *figpier.Call, r *figpier.Refusal) {
 	s.counters.Refused(r.Reason())
 	s.log.Refused(c, r)
 	web.WriteRefusal(w, r)
 }
 
+// failureKind returns the outcome of a request that got no complete answer.
 func failureKind(a *web.Attempt, ctx context.Context) figpier.OutcomeKind {
 	if !a.Reached() {
 		return figpier.OutcomeUnreached
@@ -124,8 +130,9 @@
 	return figpier.OutcomeFailed
 }
 
-// failure returns the refusal of a request that got no answer from the backend server.
-func (s *Server) failure(kind figpier.OutcomeKind, a *web.Attempt, ctx context.Context, err error) *figpier.Refusal {
+// failureRefusal returns the refusal of a request that got no answer from the backend server. If the request was cancelled
+// with a refusal, its reason is that of the latter.
+func (s *Server) failureRefusal(kind figpier.OutcomeKind, a *web.Attempt, ctx context.Context, err error) *figpier.Refusal {
 	unreached := kind == figpier.OutcomeUnreached
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalBackendFailed,
--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -12,7 +12,7 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// Error is the class of failures of the listener for the backend server.
+// Error is the class of errors of announcements and answers of the backend server.
 var Error = errs.Class("backend")
 
 // Bounds on the connections to the backend server.
@@ -22,23 +22,26 @@
 	// idleTimeout is shorter than the common keep-alive timeouts of servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unansweredTimeout is how long the other end's host may leave data or a probe without acknowledgement.
-	unansweredTimeout = time.Second
+	// unackedTimeout is how long the backend server's host may leave data or a probe unacknowledged before the connection is
+	// closed.
+	unackedTimeout = time.Second
 )
 
-// Config builds a Server.
+// Config holds the settings of a Server.
 type Config struct {
 	// Address is the loopback address and port to listen on.
 	Address string
-	// Announcement is the greatest age of an announcement.
+	// Announcement is the age at which an announcement expires unless a newer one has come.
 	Announcement time.Duration
-	// Notice is how long new work is still taken after the backend server or the node announced that it leaves.
+	// Notice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
+	// time to learn of it.
 	Notice time.Duration
-	// Member states what the node announces, but for slots and draining.
+	// Member is the node's own entry in the members list; its slots and draining state are filled in here, and its sequence
+	// is added to.
 	Member figpier.MemberConfig
 }
 
-// Server implements figpier.Backend and figpier.CallServer.
+// Server connects the node with its backend server. It implements figpier.Backend and figpier.CallServer.
 type Server struct {
 	config    Config
 	clock     figpier.Clock
@@ -53,11 +56,11 @@
 	transport *http.Transport
 	listener  *web.Server
 
-	current atomic.Pointer[announcement]
-	state   state
+	current atomic.Pointer[backendState]
+	state   controlState // belongs to the control thread
 }
 
-// New returns a server whose exit calls go to a handler.
+// New returns a server that passes exit calls to a handler.
 func New(c Config, exit http.Handler) *Server {
 	return &Server{
 		config:    c,
@@ -69,7 +72,7 @@
 func newTransport() *http.Transport {
 	return web.NewTransport(web.TransportConfig{
 		DialTimeout:     dialTimeout,
-		Unanswered:      unansweredTimeout,
+		Unanswered:      unackedTimeout,
 		IdleTimeout:     idleTimeout,
 		IdleConnections: maxIdleConnections,
 	})
@@ -104,7 +107,7 @@
 	return err
 }
 
-// ListenAddress returns the address for the backend server's announcements and exit calls.
+// ListenAddress returns the IP address and port on which the server takes announcements and exit calls.
 func (s *Server) ListenAddress() string { return s.listener.Address() }
 
 // Stop implements figpier.Service.
--- a/internal/traffic/caller/doc.go
+++ b/internal/traffic/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller listens for the requests of callers.
+// Package caller listens for requests from outside callers and passes the admitted ones to the call server.
 package caller
--- a/internal/traffic/caller/listener.go
+++ b/internal/traffic/caller/listener.go
@@ -10,18 +10,18 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// linger is how long open connections are still answered on during a planned stop.
-const linger = time.Second
+// lingerTime is how long requests on open connections are still answered during a planned stop.
+const lingerTime = time.Second
 
-// Config builds a Listener.
+// Config holds the settings of a Listener.
 type Config struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// TLS secures the listener, nil for plain HTTP on loopback.
+	// TLS secures the listener; nil means plain HTTP, for loopback only.
 	TLS *tls.Config
 }
 
-// Listener is the service that takes callers' requests.
+// Listener is the service, and the HTTP handler, that takes callers' requests.
 type Listener struct {
 	config   Config
 	clock    figpier.Clock
@@ -33,7 +33,7 @@
 	server   *web.Server
 }
 
-// New returns a listener that has not started.
+// New returns a listener, to be started by the kernel.
 func New(c Config) *Listener { return &Listener{config: c} }
 
 // Name implements figpier.Service.
@@ -61,22 +61,22 @@
 		Address: l.config.Address,
 		TLS:     l.config.TLS,
 		Handler: l,
-		Linger:  linger,
+		Linger:  lingerTime,
 	})
 	return err
 }
 
-// ListenAddress returns the IP address and port that the listener takes requests on.
+// ListenAddress returns the IP address and port on which the listener takes requests.
 func (l *Listener) ListenAddress() string { return l.server.Address() }
 
 // Stop implements figpier.Service.
 func (l *Listener) Stop(ctx context.Context) error { return l.server.Shutdown(ctx) }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It measures the time from the arrival of a request to the end of its answer.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := l.clock.Now()
 	if l.backend.Leaving() {
-		// A caller that keeps connections open must not find one closed under its next request.
+		// Tells the caller to open a new connection, before this one is closed under its next request.
 		w.Header().Set("Connection", "close")
 	}
 	c, err := l.enter(r, began)
@@ -94,6 +94,7 @@
 	l.counters.Observe("entry", l.clock.Now().Sub(began))
 }
 
+// enter checks the form of a request and asks the gate to admit it.
 func (l *Listener) enter(r *http.Request, received time.Time) (*figpier.Call, error) {
 	if err := web.Check(r, figpier.HeaderKey); err != nil {
 		return nil, err
--- a/internal/traffic/delivery/deliver.go
+++ b/internal/traffic/delivery/deliver.go
@@ -10,25 +10,25 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// Deliver implements figpier.Deliverer.
+// Deliver implements figpier.Deliverer. The slot is held until the answer's body has been read or closed.
 func (s *Server) Deliver(ctx context.Context, c *figpier.Call, i *figpier.Inbound) (*figpier.Answer, error) {
 	ticket, err := s.admit(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	address, err := s.mayStart(c)
+	address, err := s.checkStillValid(c)
 	if err != nil {
 		ticket.Release(figpier.NewOutcome(figpier.OutcomeNotRun, 0))
 		return nil, err
 	}
-	h := &handOver{server: s, call: c, ticket: ticket, began: s.clock.Now()}
-	return h.run(ctx, address, i)
+	b := &backendCall{server: s, call: c, ticket: ticket, began: s.clock.Now()}
+	return b.send(ctx, address, i)
 }
 
-// admit waits for a slot of the backend server.
+// admit waits for a slot of the backend server, no longer than until the call's deadline.
 func (s *Server) admit(ctx context.Context, c *figpier.Call) (figpier.Ticket, error) {
 	if c.Service() != s.config.Service {
-		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoBackend, Detail: "another service is here"})
+		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoBackend, Detail: "the backend server here runs another service"})
 	}
 	if _, err := s.backend.Address(); err != nil {
 		return nil, err
@@ -42,8 +42,9 @@
 	return t, err
 }
 
-// mayStart refuses a call whose backend server left or whose key was withdrawn while it waited.
-func (s *Server) mayStart(c *figpier.Call) (address string, err error) {
+// checkStillValid returns the backend server's address. It refuses if, while the call waited, its deadline passed, its key
+// was withdrawn or the backend server stopped taking work.
+func (s *Server) checkStillValid(c *figpier.Call) (address string, err error) {
 	now := s.clock.Now()
 	if !now.Before(c.Deadline()) {
 		return "", figpier.Refuse(figpier.RefusalDeadline)
@@ -56,6 +57,7 @@
 	return s.backend.Address()
 }
 
+// checkKey refuses a call whose key this node does not know as its customer's.
 func (s *Server) checkKey(now time.Time, c *figpier.Call) error {
 	if !s.view.Fresh(now) {
 		return figpier.Refuse(figpier.RefusalStaleView)
@@ -67,66 +69,68 @@
 	if a, ok := t.AccountOf(c.KeyDigest()); ok && a.Customer() == c.Customer() {
 		return nil
 	}
-	// The entry node may know a newer table, in which the key was added.
+	// The entry node accepted the key, maybe from a newer table than this one. Hence the key is not refused as unknown.
 	return figpier.Refuse(figpier.RefusalStaleView)
 }
 
-// handOver is one call at the backend server.
-type handOver struct {
+// backendCall is one call that holds a slot of the backend server.
+type backendCall struct {
 	server *Server
 	call   *figpier.Call
 	ticket figpier.Ticket
 	began  time.Time
 }
 
-// end gives the slot back.
-func (h *handOver) end(k figpier.OutcomeKind) {
-	elapsed := h.server.clock.Now().Sub(h.began)
-	h.ticket.Release(figpier.NewOutcome(k, elapsed))
-	h.server.counters.Observe("backend", elapsed)
+// release releases the slot with the outcome, and records the duration.
+func (b *backendCall) release(k figpier.OutcomeKind) {
+	elapsed := b.server.clock.Now().Sub(b.began)
+	b.ticket.Release(figpier.NewOutcome(k, elapsed))
+	b.server.counters.Observe("backend", elapsed)
 }
 
-func (h *handOver) run(ctx context.Context, address string, i *figpier.Inbound) (*figpier.Answer, error) {
-	remaining := h.call.Deadline().Sub(h.began)
+// send sends the request to the backend server and returns its answer.
+func (b *backendCall) send(ctx context.Context, address string, i *figpier.Inbound) (*figpier.Answer, error) {
+	remaining := b.call.Deadline().Sub(b.began)
 	work, cancel := context.WithTimeout(ctx, remaining)
 	out, attempt := web.Dispatch(work, address, i, i.Body())
-	h.server.dialect.Dress(out.Header, h.call, remaining)
-	response, err := h.server.transport.RoundTrip(out) //nolint:bodyclose // closed with the answer
+	b.server.dialect.Dress(out.Header, b.call, remaining)
+	response, err := b.server.transport.RoundTrip(out) //nolint:bodyclose // closed with the answer
 	if err != nil {
 		defer cancel()
 		kind := failureKind(work, attempt)
-		h.end(kind)
-		return nil, failure(work, kind, attempt, err)
+		b.release(kind)
+		return nil, failureRefusal(work, kind, attempt, err)
 	}
-	return h.read(response, cancel)
+	return b.acceptResponse(response, cancel)
 }
 
-// read turns the head of a response into an answer that gives the slot back at its end.
-func (h *handOver) read(response *http.Response, cancel context.CancelFunc) (*figpier.Answer, error) {
+// acceptResponse turns a response into an answer whose body releases the slot at its end, or into a refusal if the
+// protocol's dialect reads it as one.
+func (b *backendCall) acceptResponse(response *http.Response, cancel context.CancelFunc) (*figpier.Answer, error) {
 	refuse := func(k figpier.OutcomeKind, r figpier.RefusalReason) (*figpier.Answer, error) {
 		_ = response.Body.Close()
 		cancel()
-		h.end(k)
+		b.release(k)
 		return nil, figpier.Refuse(r)
 	}
-	switch h.server.dialect.Read(response.StatusCode, response.Header, h.call) {
+	switch b.server.dialect.Read(response.StatusCode, response.Header, b.call) {
 	case figpier.VerdictFull:
 		return refuse(figpier.OutcomeOverloaded, figpier.RefusalBackendFull)
 	case figpier.VerdictNotRun:
 		return refuse(figpier.OutcomeNotRun, figpier.RefusalBackendFull)
 	case figpier.VerdictForeign:
-		// What came belongs to an earlier request; the rest of its connection can't be trusted.
-		h.server.transport.CloseIdleConnections()
+		// The response belongs to an earlier request, so that other idle connections can't be trusted either.
+		b.server.transport.CloseIdleConnections()
 		return refuse(figpier.OutcomeFailed, figpier.RefusalAnswerBroken)
 	default:
 	}
 	body := web.NewWatchedBody(response.Body, func(err error) {
 		cancel()
 		if err == nil {
-			h.end(figpier.OutcomeDone)
+			b.release(figpier.OutcomeDone)
 			return
 		}
-		h.end(figpier.OutcomeFailed)
+		b.release(figpier.OutcomeFailed)
 	})
 	return figpier.NewAnswer(figpier.AnswerConfig{
 		Status: response.StatusCode,
@@ -136,6 +140,7 @@
 	}), nil
 }
 
+// failureKind returns the outcome of a request that got no answer.
 func failureKind(ctx context.Context, a *web.Attempt) figpier.OutcomeKind {
 	switch {
 	case !a.Reached():
@@ -148,8 +153,8 @@
 	return figpier.OutcomeFailed
 }
 
-// failure returns the refusal of a call that got no answer from the backend server.
-func failure(ctx context.Context, kind figpier.OutcomeKind, a *web.Attempt, err error) *figpier.Refusal {
+// failureRefusal returns the refusal of a call that got no answer from the backend server.
+func failureRefusal(ctx context.Context, kind figpier.OutcomeKind, a *web.Attempt, err error) *figpier.Refusal {
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalBackendFailed,
 		RanSomewhere: a.Reached(),
--- a/internal/traffic/delivery/doc.go
+++ b/internal/traffic/delivery/doc.go
@@ -1,2 +1,2 @@
-// Package delivery gives the calls of this and other nodes to the backend server beside a node; every call passes it last.
+// Package delivery sends calls, which come from this node or from other nodes, to the backend server beside the node.
 package delivery
--- a/internal/traffic/delivery/server.go
+++ b/internal/traffic/delivery/server.go
@@ -13,24 +13,25 @@
 
 // Bounds on the connections to the backend server.
 const (
-	// idleConnections is the number of idle connections kept; a backend server has fewer slots.
-	idleConnections = 512
+	// maxIdleConnections is the number of idle connections kept, more than a backend server has slots.
+	maxIdleConnections = 512
 	// idleTimeout is shorter than the keep-alive timeouts of common servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unanswered is how long the host of the backend server, which is the node's own, may leave data unacknowledged.
-	unanswered = time.Second
+	// unackedTimeout is how long the backend server's host, which is the node's own, may leave data unacknowledged before the
+	// connection is closed.
+	unackedTimeout = time.Second
 )
 
-// Config builds a Server.
+// Config holds the settings of a Server.
 type Config struct {
-	// Address is the IP address and port for other nodes.
+	// Address is the IP address and port to listen on for the calls of other nodes.
 	Address string
 	// Service is the service that the backend server beside the node runs.
 	Service figpier.UpstreamService
 }
 
-// Server implements figpier.Deliverer, and takes the calls of other nodes.
+// Server sends calls to the backend server, and listens for those of other nodes. It implements figpier.Deliverer.
 type Server struct {
 	config    Config
 	clock     figpier.Clock
@@ -44,15 +45,15 @@
 	listener  *web.Server
 }
 
-// New returns a server that has not started.
+// New returns a server, to be started by the kernel.
 func New(c Config) *Server {
 	return &Server{
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
 			DialTimeout:     dialTimeout,
-			Unanswered:      unanswered,
+			Unanswered:      unackedTimeout,
 			IdleTimeout:     idleTimeout,
-			IdleConnections: idleConnections,
+			IdleConnections: maxIdleConnections,
 		}),
 	}
 }
@@ -88,7 +89,7 @@
 // Stop implements figpier.Service.
 func (s *Server) Stop(ctx context.Context) error { return s.listener.Shutdown(ctx) }
 
-// ServeHTTP implements http.Handler for the calls of other nodes.
+// ServeHTTP implements http.Handler for the calls of other nodes. The answer carries this node's cut-off.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := s.clock.Now()
 	c, err := codec.DecodeEnvelope(r.Header.Get(figpier.HeaderEnvelope), now)
@@ -106,12 +107,12 @@
 	}
 	defer func() { _ = answer.Body().Close() }()
 	if err := web.PassAnswer(w, answer); err != nil {
-		// A broken answer must not look like a short whole one.
+		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// inbound returns the request that another node passed on.
+// inbound returns the request that another node forwarded.
 func inbound(r *http.Request, c *figpier.Call, now time.Time) *figpier.Inbound {
 	return figpier.NewInbound(figpier.InboundConfig{
 		ID:       c.RequestID(),
@@ -125,6 +126,7 @@
 	})
 }
 
+// refuse counts and logs a refusal, and answers another node with it. The call may be nil.
 func (s *Server) refuse(w http.ResponseWriter, c *figpier.Call, r *figpier.Refusal) {
 	s.counters.Refused(r.Reason())
 	s.log.Refused(c, r)
--- a/internal/traffic/leaving/leaver.go
+++ b/internal/traffic/leaving/leaver.go
@@ -7,20 +7,22 @@
 	"github.com/figpier/figpier"
 )
 
-// Config builds a Leaver.
+// Config holds the settings of a Leaver.
 type Config struct {
-	// Notice is how long the node goes on serving after it announced that it leaves.
+	// Notice is how long the node still accepts new work after it has announced that it leaves, so that other nodes have time
+	// to learn of it.
 	Notice time.Duration
 }
 
-// Leaver is the service that is stopped first: it announces that the node leaves, and then closes it to new work.
+// Leaver is the service that is stopped first: its Stop announces that the node leaves, waits for the notice, and then makes
+// the node refuse new work.
 type Leaver struct {
 	config  Config
 	clock   figpier.Clock
 	backend figpier.Backend
 }
 
-// New returns a leaver that has not started.
+// New returns a leaver, to be started by the kernel.
 func New(c Config) *Leaver { return &Leaver{config: c} }
 
 // Name implements figpier.Service.
@@ -33,7 +35,7 @@
 	return err
 }
 
-// Stop implements figpier.Service.
+// Stop implements figpier.Service. The end of the context cuts the notice short.
 func (l *Leaver) Stop(ctx context.Context) error {
 	l.backend.Leave()
 	over := make(chan struct{})
--- a/internal/traffic/peer/doc.go
+++ b/internal/traffic/peer/doc.go
@@ -1,2 +1,2 @@
-// Package peer listens for the calls of other nodes.
+// Package peer listens for calls from other nodes and passes them to the call server.
 package peer
--- a/internal/traffic/peer/listener.go
+++ b/internal/traffic/peer/listener.go
@@ -11,19 +11,19 @@
 	"github.com/figpier/figpier/internal/wire/codec"
 )
 
-// Config builds a Listener.
+// Config holds the settings of a Listener.
 type Config struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// TLS authenticates the other nodes, nil for plain HTTP/2 on loopback.
+	// TLS authenticates the other nodes; nil means plain HTTP/2, for loopback only.
 	TLS *tls.Config
-	// PingAfter is the silence after which a connection is pinged, and the time that the ping may take.
+	// PingAfter is how long a connection may be silent before it is pinged, and how long the ping may then take.
 	PingAfter time.Duration
 	// Service is the service that the backend server beside the node runs.
 	Service figpier.UpstreamService
 }
 
-// Listener is the service that takes other nodes' calls.
+// Listener is the service, and the HTTP handler, that takes other nodes' calls.
 type Listener struct {
 	config   Config
 	clock    figpier.Clock
@@ -34,7 +34,7 @@
 	server   *web.Server
 }
 
-// New returns a listener that has not started.
+// New returns a listener, to be started by the kernel.
 func New(c Config) *Listener { return &Listener{config: c} }
 
 // Name implements figpier.Service.
@@ -64,16 +64,16 @@
 	return err
 }
 
-// ListenAddress returns the IP address and port that the listener takes requests on.
+// ListenAddress returns the IP address and port on which the listener takes calls.
 func (l *Listener) ListenAddress() string { return l.server.Address() }
 
 // Stop implements figpier.Service.
 func (l *Listener) Stop(ctx context.Context) error { return l.server.Shutdown(ctx) }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It measures the time from the arrival of a call to the end of its answer.
 func (l *Listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := l.clock.Now()
-	c, err := l.call(r, began)
+	c, err := l.decodeCall(r, began)
 	if err != nil {
 		refusal := web.AsRefusal(err)
 		l.counters.Refused(refusal.Reason())
@@ -85,7 +85,9 @@
 	l.counters.Observe("peer", l.clock.Now().Sub(began))
 }
 
-func (l *Listener) call(r *http.Request, now time.Time) (*figpier.Call, error) {
+// decodeCall decodes the call in a request's envelope. Service, route and idempotency are not taken from the envelope but
+// from this node's own profile.
+func (l *Listener) decodeCall(r *http.Request, now time.Time) (*figpier.Call, error) {
 	if err := web.Check(r, figpier.HeaderEnvelope); err != nil {
 		return nil, err
 	}
--- a/internal/traffic/stopping/doc.go
+++ b/internal/traffic/stopping/doc.go
@@ -1,2 +1,3 @@
-// Package stopping tells whether a node takes new callers, and lets the open connections be served during a planned stop.
+// Package stopping reports a node's readiness for new callers, and keeps serving open connections for a time during
+// a planned stop.
 package stopping
--- a/internal/traffic/stopping/stopper.go
+++ b/internal/traffic/stopping/stopper.go
@@ -10,15 +10,15 @@
 	"github.com/figpier/figpier"
 )
 
-// Config builds a Stopper.
+// Config holds the settings of a Stopper.
 type Config struct {
-	// Serve is how long open connections are served after the node has said that it takes no new callers.
+	// Serve is how long open connections are still served after the node has become not ready.
 	Serve time.Duration
-	// Log takes a line at start and stop.
+	// Log receives a line at start and at stop.
 	Log *logrus.Entry
 }
 
-// Stopper implements figpier.Readiness; it is stopped first.
+// Stopper implements figpier.Readiness. It is the service that is stopped first.
 type Stopper struct {
 	config   Config
 	clock    figpier.Clock
@@ -27,7 +27,7 @@
 	stopping atomic.Bool
 }
 
-// New returns a stopper that has not started.
+// New returns a stopper, to be started by the kernel.
 func New(c Config) *Stopper { return &Stopper{config: c} }
 
 // Name implements figpier.Service.
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Ready implements figpier.Readiness.
+// Ready implements figpier.Readiness: a node is ready while it has a routing table and a fresh view, and is not stopping.
 func (s *Stopper) Ready() bool {
 	return !s.stopping.Load() && s.view.Configuration().Table() != nil && s.view.Fresh(s.clock.Now())
 }
@@ -54,7 +54,7 @@
 // Leaving implements figpier.Readiness.
 func (s *Stopper) Leaving() bool { return s.stopping.Load() }
 
-// Stop implements figpier.Service; it returns when the time to serve open connections is over.
+// Stop implements figpier.Service. It returns when the time to serve open connections is over or the context ends.
 func (s *Stopper) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.config.Log.WithField("serves", s.config.Serve.String()).Info("stopping: no new callers are taken")
