--- a/internal/traffic/forward/attempts.go
+++ b/internal/traffic/forward/attempts.go
@@ -97,8 +97,8 @@
 	return ok
 }
 
-// decideRetry decides whether to make another attempt, and takes it from the service's retry budget. An attempt after which
-// no backend server has got the request is free.
+// decideRetry decides whether to make another attempt, and takes it from the service's retry budget. Attempts are free as
+// long as no backend server has got the request.
 func (f *Forwarder) decideRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) (figpier.RetryReason, bool) {
 	now := f.clock.Now()
 	switch {
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	s.WhenStale(t.EndKeyed)
+	s.WhenStale(t.EndCallsWithKey)
 	return nil
 }
 
@@ -99,9 +99,9 @@
 	}
 }
 
-// EndKeyed cancels all live calls that came with a key. It runs when the view has become stale, as their keys may have been
+// EndCallsWithKey cancels all live calls that came with a key. It runs when the view has become stale, as their keys may have been
 // withdrawn since.
-func (t *Table) EndKeyed() {
+func (t *Table) EndCallsWithKey() {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
--- a/internal/traffic/shards/cluster_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -135,13 +135,14 @@
 	network *network
 	control *process
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards nodes and whether each is stopped
 	nodes []*process
+	// grace is how long the services of a process may take to stop, 0 for an abrupt end.
 	grace time.Duration
 }
 
 func newCluster(t *testing.T, seed uint64, nodes int) *cluster {
-	f := &cluster{t: t, network: newNetwork(seed)}
+	cl := &cluster{t: t, network: newNetwork(seed)}
 	log := &fakeLog{}
 	assigner := controlshards.New(controlshards.Config{
 		Instance:   controlName,
@@ -152,12 +153,12 @@
 		Log:        discardLog(),
 	})
 	log.Drive(machines.New(machines.Config{Shards: assigner}))
-	f.control = f.startProcess(f.network.link(controlName), log, assigner)
+	cl.control = cl.startProcess(cl.network.link(controlName), log, assigner)
 	for range nodes {
-		f.startNode()
+		cl.startNode()
 	}
 	time.Sleep(3 * time.Second)
-	return f
+	return cl
 }
 
 func discardLog() *logrus.Entry {
@@ -167,8 +168,8 @@
 }
 
 // startNode starts a node.
-func (f *cluster) startNode() *process {
-	address := fmt.Sprintf("node%d", len(f.allNodes()))
+func (cl *cluster) startNode() *process {
+	address := fmt.Sprintf("node%d", len(cl.allNodes()))
 	name := figpier.InstanceID(address)
 	host := shards.New(shards.Config{
 		Instance:   name,
@@ -184,25 +185,25 @@
 	l := limiter.New(limiter.Config{Instance: name, Patience: 100 * time.Millisecond})
 	c := claims.New()
 	finder := locator.New(locator.Config{Controls: []string{controlName}})
-	p := f.startProcess(f.network.link(address), newFakeView(), finder, host, l, c)
+	p := cl.startProcess(cl.network.link(address), newFakeView(), finder, host, l, c)
 	p.limiter, p.claims, p.locator = l, c, finder
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.nodes = append(f.nodes, p)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.nodes = append(cl.nodes, p)
 	return p
 }
 
-func (f *cluster) startProcess(l *link, services ...figpier.Service) *process {
+func (cl *cluster) startProcess(l *link, services ...figpier.Service) *process {
 	k := registry.New(registry.Config{Clock: synctestClock{}})
 	for _, s := range append([]figpier.Service{l, fakeCounters{}}, services...) {
-		assert.NilError(f.t, k.Register(s))
+		assert.NilError(cl.t, k.Register(s))
 	}
-	ctx, stop := context.WithCancel(f.t.Context())
+	ctx, stop := context.WithCancel(cl.t.Context())
 	p := &process{link: l, stop: stop, ended: make(chan struct{})}
 	go func() {
 		defer close(p.ended)
 		_ = k.Run(ctx, func() (context.Context, context.CancelFunc) {
-			return context.WithTimeout(context.Background(), f.grace)
+			return context.WithTimeout(context.Background(), cl.grace)
 		})
 	}()
 	synctest.Wait()
@@ -210,42 +211,42 @@
 }
 
 // allNodes returns all nodes, also the stopped ones.
-func (f *cluster) allNodes() []*process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.nodes)
+func (cl *cluster) allNodes() []*process {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return slices.Clone(cl.nodes)
 }
 
 // markStopped keeps new requests away from a node.
-func (f *cluster) markStopped(p *process) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (cl *cluster) markStopped(p *process) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	p.stopped = true
 }
 
 // kill ends a process abruptly: its messages are cut off before it stops.
-func (f *cluster) kill(p *process) {
-	f.markStopped(p)
+func (cl *cluster) kill(p *process) {
+	cl.markStopped(p)
 	p.link.kill()
 	p.stop()
 	<-p.ended
 }
 
 // stopGracefully ends a process by a planned stop.
-func (f *cluster) stopGracefully(p *process) {
-	f.markStopped(p)
-	f.grace = time.Second
+func (cl *cluster) stopGracefully(p *process) {
+	cl.markStopped(p)
+	cl.grace = time.Second
 	p.stop()
 	<-p.ended
-	f.grace = 0
+	cl.grace = 0
 }
 
-func (f *cluster) stopAll() {
-	for _, p := range append(f.allNodes(), f.control) {
+func (cl *cluster) stopAll() {
+	for _, p := range append(cl.allNodes(), cl.control) {
 		p.link.kill()
 		p.stop()
 	}
-	for _, p := range append(f.allNodes(), f.control) {
+	for _, p := range append(cl.allNodes(), cl.control) {
 		<-p.ended
 	}
 	// Lets the messages that are still on their way end.
@@ -253,25 +254,25 @@
 }
 
 // primary returns the node that the locator names as a shard's primary.
-func (f *cluster) primary(id shard.ID) *process {
-	f.t.Helper()
-	address, err := f.runningNodes()[0].locator.Primary(f.t.Context(), uint32(id))
-	assert.NilError(f.t, err)
-	for _, p := range f.allNodes() {
+func (cl *cluster) primary(id shard.ID) *process {
+	cl.t.Helper()
+	address, err := cl.runningNodes()[0].locator.Primary(cl.t.Context(), uint32(id))
+	assert.NilError(cl.t, err)
+	for _, p := range cl.allNodes() {
 		if p.link.address == address {
 			return p
 		}
 	}
-	f.t.Fatalf("no node has the address %s", address)
+	cl.t.Fatalf("no node has the address %s", address)
 	return nil
 }
 
 // runningNodes returns the nodes that were neither killed nor stopped.
-func (f *cluster) runningNodes() []*process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (cl *cluster) runningNodes() []*process {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var all []*process
-	for _, p := range f.nodes {
+	for _, p := range cl.nodes {
 		if !p.stopped {
 			all = append(all, p)
 		}
--- a/internal/traffic/shards/failures_test.go
+++ b/internal/traffic/shards/failures_test.go
@@ -20,54 +20,54 @@
 // failure is a fault that a test injects while requests arrive; victim is a node that acts as a primary.
 type failure struct {
 	name   string
-	inject func(f *cluster, victim *process)
+	inject func(cl *cluster, victim *process)
 }
 
 func failures() []failure {
 	return []failure{
 		{"none", func(*cluster, *process) {}},
-		{"primary killed", func(f *cluster, p *process) { f.kill(p) }},
-		{"primary leaves", func(f *cluster, p *process) { f.stopGracefully(p) }},
+		{"primary killed", func(cl *cluster, p *process) { cl.kill(p) }},
+		{"primary leaves", func(cl *cluster, p *process) { cl.stopGracefully(p) }},
 		{"primary frozen and back", func(_ *cluster, p *process) { p.link.freeze(8 * time.Second) }},
 		{"primary frozen shortly", func(_ *cluster, p *process) { p.link.freeze(1500 * time.Millisecond) }},
-		{"frozen, and its successor killed", func(f *cluster, p *process) {
+		{"frozen, and its successor killed", func(cl *cluster, p *process) {
 			p.link.freeze(9 * time.Second)
 			time.Sleep(4 * time.Second)
-			f.kill(f.runningNodes()[3])
+			cl.kill(cl.runningNodes()[3])
 		}},
-		{"killed, replaced, and another killed", func(f *cluster, p *process) {
-			f.kill(p)
-			f.startNode()
+		{"killed, replaced, and another killed", func(cl *cluster, p *process) {
+			cl.kill(p)
+			cl.startNode()
 			time.Sleep(6 * time.Second)
-			f.kill(f.runningNodes()[1])
+			cl.kill(cl.runningNodes()[1])
 		}},
-		{"all killed and replaced", func(f *cluster, _ *process) {
-			for _, p := range f.runningNodes() {
-				f.kill(p)
+		{"all killed and replaced", func(cl *cluster, _ *process) {
+			for _, p := range cl.runningNodes() {
+				cl.kill(p)
 			}
 			for range 3 {
-				f.startNode()
+				cl.startNode()
 			}
 		}},
-		{"messages lost, late and repeated", func(f *cluster, _ *process) {
-			f.network.configure(func(n *network) { n.lossRate, n.duplicateRate = 0.05, 0.1 })
+		{"messages lost, late and repeated", func(cl *cluster, _ *process) {
+			cl.network.configure(func(n *network) { n.lossRate, n.duplicateRate = 0.05, 0.1 })
 		}},
-		{"primary cut from control while a node comes", func(f *cluster, p *process) {
-			f.network.configure(func(n *network) {
+		{"primary cut from control while a node comes", func(cl *cluster, p *process) {
+			cl.network.configure(func(n *network) {
 				n.blocks = func(from, to string) bool {
 					return from == p.link.address && to == controlName || to == p.link.address && from == controlName
 				}
 			})
 			time.Sleep(4 * time.Second)
-			f.startNode()
+			cl.startNode()
 		}},
-		{"primary cut from backups and then killed", func(f *cluster, p *process) {
-			f.network.configure(func(n *network) {
+		{"primary cut from backups and then killed", func(cl *cluster, p *process) {
+			cl.network.configure(func(n *network) {
 				n.drops = func(m figpier.Method) bool { return m == figpier.MethodShardWrite }
 			})
 			time.Sleep(900 * time.Millisecond)
-			f.kill(p)
-			f.network.configure(func(n *network) { n.drops = func(figpier.Method) bool { return false } })
+			cl.kill(p)
+			cl.network.configure(func(n *network) { n.drops = func(figpier.Method) bool { return false } })
 		}},
 	}
 }
@@ -84,19 +84,19 @@
 
 func checkRunsAtMostOnce(t *testing.T, x failure, seed uint64) {
 	const keys = 60
-	f := newCluster(t, seed, 5)
-	defer f.stopAll()
+	cl := newCluster(t, seed, 5)
+	defer cl.stopAll()
 	c := &runCounter{runs: map[figpier.IdempotencyKey]int{}, refused: map[figpier.RefusalReason]int{}}
 	var callers sync.WaitGroup
 	for n := range keys {
 		r := rand.New(rand.NewPCG(seed, uint64(n)))
 		callers.Go(func() {
 			time.Sleep(time.Duration(r.IntN(4000)) * time.Millisecond)
-			f.callRepeatedly(c, figpier.IdempotencyKey(fmt.Sprint(n)), r)
+			cl.callRepeatedly(c, figpier.IdempotencyKey(fmt.Sprint(n)), r)
 		})
 	}
 	time.Sleep(2 * time.Second)
-	x.inject(f, f.primary(shard.OfClaim(claim.NewKey("c", testService, "0"))))
+	x.inject(cl, cl.primary(shard.OfClaim(claim.NewKey("c", testService, "0"))))
 	callers.Wait()
 	for k, n := range c.runs {
 		assert.Assert(t, n <= 1, "request %s ran %d times", k, n)
@@ -106,16 +106,16 @@
 }
 
 // callRepeatedly sends a request 8 times at random nodes, each time after an answer or after up to 3 s without one.
-func (f *cluster) callRepeatedly(c *runCounter, k figpier.IdempotencyKey, r *rand.Rand) {
+func (cl *cluster) callRepeatedly(c *runCounter, k figpier.IdempotencyKey, r *rand.Rand) {
 	var attempts sync.WaitGroup
 	for range 8 {
-		nodes := f.runningNodes()
+		nodes := cl.runningNodes()
 		p := nodes[r.IntN(len(nodes))]
 		ending, length := r.IntN(6), time.Duration(r.IntN(1000))*time.Millisecond
 		answered := make(chan struct{})
 		attempts.Go(func() {
 			defer close(answered)
-			f.attempt(c, p, k, ending, length)
+			cl.attempt(c, p, k, ending, length)
 		})
 		select {
 		case <-answered:
@@ -126,9 +126,9 @@
 }
 
 // attempt claims, runs and finishes a request as a node does with its backend server.
-func (f *cluster) attempt(c *runCounter, p *process, k figpier.IdempotencyKey, ending int, length time.Duration) {
+func (cl *cluster) attempt(c *runCounter, p *process, k figpier.IdempotencyKey, ending int, length time.Duration) {
 	call := figpier.NewCall(figpier.CallConfig{Customer: "c", Service: testService, IdempotencyKey: k})
-	ctx, cancel := context.WithTimeout(f.t.Context(), 3*time.Second)
+	ctx, cancel := context.WithTimeout(cl.t.Context(), 3*time.Second)
 	defer cancel()
 	granted, err := p.claims.Claim(ctx, call)
 	if err != nil {
@@ -152,9 +152,9 @@
 }
 
 func TestTokensStayWithinRateAndBurst(t *testing.T) {
-	lostReports := failure{"token messages lost", func(f *cluster, _ *process) {
+	lostReports := failure{"token messages lost", func(cl *cluster, _ *process) {
 		n := 0
-		f.network.configure(func(w *network) {
+		cl.network.configure(func(w *network) {
 			w.drops = func(m figpier.Method) bool {
 				n++
 				return m == figpier.MethodTokens && n%3 == 0
@@ -173,9 +173,9 @@
 }
 
 func checkTokenLimit(t *testing.T, x failure, customer figpier.CustomerID, load float64) {
-	f := newCluster(t, 1, 5)
+	cl := newCluster(t, 1, 5)
 	limit := newFakeView().configuration.Profiles()["p"].Limit(customer)
-	defer f.stopAll()
+	defer cl.stopAll()
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 14*time.Second)
 	defer cancel()
@@ -188,7 +188,7 @@
 		r := rand.New(rand.NewPCG(1, 1))
 		for ctx.Err() == nil {
 			time.Sleep(time.Duration(r.ExpFloat64() / (load * limit.Rate()) * float64(time.Second)))
-			nodes := f.runningNodes()
+			nodes := cl.runningNodes()
 			p := nodes[r.IntN(len(nodes))]
 			arrivals++
 			callers.Go(func() {
@@ -203,7 +203,7 @@
 		}
 	})
 	time.Sleep(3 * time.Second)
-	x.inject(f, f.primary(shard.OfLimit(customer, testService)))
+	x.inject(cl, cl.primary(shard.OfLimit(customer, testService)))
 	callers.Wait()
 	assert.Equal(t, countOverLimit(limit, spent), 0, "of %d tokens", len(spent))
 	t.Logf("%d arrivals, %d tokens; refusals %v", arrivals, len(spent), c.refused)
