--- a/internal/traffic/shards/fleet_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -34,13 +34,13 @@
 	lossTime    = 10 * time.Second
 )
 
-// bubbleClock tells the time of a test's bubble, which the kernel's own clocks do not follow.
-type bubbleClock struct{ system.Clock }
+// synctestClock returns the fake time of the synctest bubble, which the kernel's own clocks don't follow.
+type synctestClock struct{ system.Clock }
 
 // Now implements figpier.Clock.
-func (bubbleClock) Now() time.Time { return time.Now() }
+func (synctestClock) Now() time.Time { return time.Now() }
 
-// fakeLog implements figpier.ReplicatedLog in memory.
+// fakeLog implements figpier.ReplicatedLog in memory, without replication.
 type fakeLog struct {
 	machine figpier.StateMachine
 	control figpier.ControlThread
@@ -118,30 +118,31 @@
 func (v *fakeView) Configuration() *figpier.Configuration          { return v.configuration }
 func (v *fakeView) Fresh(time.Time) bool                           { return true }
 
-// process is a kernel that runs.
+// process is a running kernel with the services of a node or of the control instance.
 type process struct {
 	link    *link
 	stop    context.CancelFunc
-	killed  bool
+	stopped bool
 	limiter *limiter.Limiter
 	claims  *claims.Claims
 	locator *locator.Locator
 	ended   chan struct{}
 }
 
-// fleet is one control instance and some nodes inside a synctest bubble.
-type fleet struct {
+// cluster is one control instance and some nodes inside a synctest bubble.
+type cluster struct {
 	t       *testing.T
 	network *network
 	control *process
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards nodes and whether each is stopped
 	nodes []*process
+	// grace is how long the services of a process may take to stop, 0 for an abrupt end.
 	grace time.Duration
 }
 
-func newFleet(t *testing.T, seed uint64, nodes int) *fleet {
-	f := &fleet{t: t, network: newNetwork(seed)}
+func newCluster(t *testing.T, seed uint64, nodes int) *cluster {
+	cl := &cluster{t: t, network: newNetwork(seed)}
 	log := &fakeLog{}
 	assigner := controlshards.New(controlshards.Config{
 		Instance:   controlName,
@@ -149,26 +150,26 @@
 		ClockError: 100 * time.Millisecond,
 		LossTime:   lossTime,
 		Backups:    2,
-		Log:        discard(),
+		Log:        discardLog(),
 	})
 	log.Drive(machines.New(machines.Config{Shards: assigner}))
-	f.control = f.run(f.network.link(controlName), log, assigner)
+	cl.control = cl.startProcess(cl.network.link(controlName), log, assigner)
 	for range nodes {
-		f.boot()
+		cl.startNode()
 	}
 	time.Sleep(3 * time.Second)
-	return f
+	return cl
 }
 
-func discard() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
 
-// boot starts a node.
-func (f *fleet) boot() *process {
-	address := fmt.Sprintf("node%d", len(f.all()))
+// startNode starts a node.
+func (cl *cluster) startNode() *process {
+	address := fmt.Sprintf("node%d", len(cl.allNodes()))
 	name := figpier.InstanceID(address)
 	host := shards.New(shards.Config{
 		Instance:   name,
@@ -184,115 +185,115 @@
 	l := limiter.New(limiter.Config{Instance: name, Patience: 100 * time.Millisecond})
 	c := claims.New()
 	finder := locator.New(locator.Config{Controls: []string{controlName}})
-	p := f.run(f.network.link(address), newFakeView(), finder, host, l, c)
+	p := cl.startProcess(cl.network.link(address), newFakeView(), finder, host, l, c)
 	p.limiter, p.claims, p.locator = l, c, finder
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.nodes = append(f.nodes, p)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.nodes = append(cl.nodes, p)
 	return p
 }
 
-func (f *fleet) run(l *link, services ...figpier.Service) *process {
-	k := registry.New(registry.Config{Clock: bubbleClock{}})
+func (cl *cluster) startProcess(l *link, services ...figpier.Service) *process {
+	k := registry.New(registry.Config{Clock: synctestClock{}})
 	for _, s := range append([]figpier.Service{l, fakeCounters{}}, services...) {
-		assert.NilError(f.t, k.Register(s))
+		assert.NilError(cl.t, k.Register(s))
 	}
-	ctx, stop := context.WithCancel(f.t.Context())
+	ctx, stop := context.WithCancel(cl.t.Context())
 	p := &process{link: l, stop: stop, ended: make(chan struct{})}
 	go func() {
 		defer close(p.ended)
 		_ = k.Run(ctx, func() (context.Context, context.CancelFunc) {
-			return context.WithTimeout(context.Background(), f.grace)
+			return context.WithTimeout(context.Background(), cl.grace)
 		})
 	}()
 	synctest.Wait()
 	return p
 }
 
-// all returns the nodes that ever were.
-func (f *fleet) all() []*process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.nodes)
+// allNodes returns all nodes, also the stopped ones.
+func (cl *cluster) allNodes() []*process {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return slices.Clone(cl.nodes)
 }
 
-// retire keeps new requests away from a node.
-func (f *fleet) retire(p *process) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	p.killed = true
+// markStopped keeps new requests away from a node.
+func (cl *cluster) markStopped(p *process) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	p.stopped = true
 }
 
-// kill ends a process without a word.
-func (f *fleet) kill(p *process) {
-	f.retire(p)
+// kill ends a process abruptly: its messages are cut off before it stops.
+func (cl *cluster) kill(p *process) {
+	cl.markStopped(p)
 	p.link.kill()
 	p.stop()
 	<-p.ended
 }
 
-// leave ends a process by a planned stop.
-func (f *fleet) leave(p *process) {
-	f.retire(p)
-	f.grace = time.Second
+// stopGracefully ends a process by a planned stop.
+func (cl *cluster) stopGracefully(p *process) {
+	cl.markStopped(p)
+	cl.grace = time.Second
 	p.stop()
 	<-p.ended
-	f.grace = 0
+	cl.grace = 0
 }
 
-func (f *fleet) end() {
-	for _, p := range append(f.all(), f.control) {
+func (cl *cluster) stopAll() {
+	for _, p := range append(cl.allNodes(), cl.control) {
 		p.link.kill()
 		p.stop()
 	}
-	for _, p := range append(f.all(), f.control) {
+	for _, p := range append(cl.allNodes(), cl.control) {
 		<-p.ended
 	}
-	// Messages on their way end.
+	// Lets the messages that are still on their way end.
 	time.Sleep(time.Minute)
 }
 
-// primary returns the node that a shard's primary is said to be.
-func (f *fleet) primary(id shard.ID) *process {
-	f.t.Helper()
-	address, err := f.living()[0].locator.Primary(f.t.Context(), uint32(id))
-	assert.NilError(f.t, err)
-	for _, p := range f.all() {
+// primary returns the node that the locator names as a shard's primary.
+func (cl *cluster) primary(id shard.ID) *process {
+	cl.t.Helper()
+	address, err := cl.runningNodes()[0].locator.Primary(cl.t.Context(), uint32(id))
+	assert.NilError(cl.t, err)
+	for _, p := range cl.allNodes() {
 		if p.link.address == address {
 			return p
 		}
 	}
-	f.t.Fatalf("no node has the address %s", address)
+	cl.t.Fatalf("no node has the address %s", address)
 	return nil
 }
 
-// living returns the nodes that were not killed.
-func (f *fleet) living() []*process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// runningNodes returns the nodes that were neither killed nor stopped.
+func (cl *cluster) runningNodes() []*process {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var all []*process
-	for _, p := range f.nodes {
-		if !p.killed {
+	for _, p := range cl.nodes {
+		if !p.stopped {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// tally counts how often each request ran.
-type tally struct {
+// runCounter counts the runs of each request, and the refusals by reason.
+type runCounter struct {
 	mu      sync.Mutex
 	runs    map[figpier.IdempotencyKey]int
 	refused map[figpier.RefusalReason]int
 }
 
-func (c *tally) ran(k figpier.IdempotencyKey) {
+func (c *runCounter) countRun(k figpier.IdempotencyKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[k]++
 }
 
-func (c *tally) refuse(err error) {
+func (c *runCounter) countRefusal(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var r *figpier.Refusal
