--- a/internal/control/operator/editor.go
+++ b/internal/control/operator/editor.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	// submitTimeout bounds the wait for an edit to be accepted; after it the outcome is reported as unknown.
 	submitTimeout   = 10 * time.Second
 	keyIDSize       = 8  // bytes
 	secretSize      = 32 // bytes
@@ -21,24 +22,28 @@
 	operationIDSize = 16 // bytes
 )
 
-// editor turns what operators ask for into edits of the catalog.
+// editor validates operators' requests and submits them to the catalog as edits.
 type editor struct {
 	catalog figpier.Catalog
 }
 
-// basis names an edit and the revision that its operator saw.
-type basis struct {
+// editParams holds the parameters that every edit has.
+type editParams struct {
+	// operation identifies the edit, so that a resend is not carried out twice.
 	operation figpier.OperationID
-	base      figpier.Revision
+	// base is the revision of the object that the operator saw, 0 to create it; edits of keys don't use it.
+	base figpier.Revision
 }
 
-// givenKey is the answer to the operator who gave a key; a resend has no secret.
-type givenKey struct {
+// issuedKey is the result of giving a customer a key. The secret is stored nowhere, so it is empty for a resend of the
+// operation that created the key.
+type issuedKey struct {
 	receipt *figpier.Receipt
 	secret  string
 }
 
-func (e *editor) applyProfile(ctx context.Context, b basis, name figpier.ProfileName, document string) (*figpier.Receipt, error) {
+// applyProfile creates or replaces a profile. It returns a *jsonc.ProblemsError for a document that is not valid.
+func (e *editor) applyProfile(ctx context.Context, params editParams, name figpier.ProfileName, document string) (*figpier.Receipt, error) {
 	p, err := profile.Parse(string(name), []byte(document))
 	if err != nil {
 		return nil, err
@@ -47,24 +52,24 @@
 		return nil, newInvalidFieldError("name", "the profile's name differs from the name in the address")
 	}
 	return e.submit(ctx, figpier.EditConfig{
-		Operation:   b.operation,
-		Base:        b.base,
+		Operation:   params.operation,
+		Base:        params.base,
 		Kind:        figpier.EditApplyProfile,
 		Profile:     p,
 		ProfileName: name,
 	})
 }
 
-func (e *editor) deleteProfile(ctx context.Context, b basis, name figpier.ProfileName) (*figpier.Receipt, error) {
+func (e *editor) deleteProfile(ctx context.Context, params editParams, name figpier.ProfileName) (*figpier.Receipt, error) {
 	return e.submit(ctx, figpier.EditConfig{
-		Operation:   b.operation,
-		Base:        b.base,
+		Operation:   params.operation,
+		Base:        params.base,
 		Kind:        figpier.EditDeleteProfile,
 		ProfileName: name,
 	})
 }
 
-func (e *editor) assign(ctx context.Context, b basis, s figpier.UpstreamService, name figpier.ProfileName) (*figpier.Receipt, error) {
+func (e *editor) assign(ctx context.Context, params editParams, s figpier.UpstreamService, name figpier.ProfileName) (*figpier.Receipt, error) {
 	if detail, ok := profile.CheckName(string(s)); !ok {
 		return nil, newInvalidFieldError("service", detail)
 	}
@@ -72,17 +77,18 @@
 		return nil, newInvalidFieldError("profile", detail)
 	}
 	return e.submit(ctx, figpier.EditConfig{
-		Operation:   b.operation,
-		Base:        b.base,
+		Operation:   params.operation,
+		Base:        params.base,
 		Kind:        figpier.EditAssign,
 		ProfileName: name,
 		Service:     s,
 	})
 }
 
-func (e *editor) giveKey(ctx context.Context, b basis, c figpier.CustomerID) (givenKey, error) {
+// giveKey creates a key and returns its secret; the catalog gets only the secret's digest.
+func (e *editor) giveKey(ctx context.Context, params editParams, c figpier.CustomerID) (issuedKey, error) {
 	if detail, ok := profile.CheckName(string(c)); !ok {
-		return givenKey{}, newInvalidFieldError("customer", detail)
+		return issuedKey{}, newInvalidFieldError("customer", detail)
 	}
 	secret := secretPrefix + base64.RawURLEncoding.EncodeToString(randomBytes(secretSize))
 	k := figpier.NewKey(figpier.KeyConfig{
@@ -91,28 +97,30 @@
 		Digest:   sha256.Sum256([]byte(secret)),
 	})
 	r, err := e.submit(ctx, figpier.EditConfig{
-		Operation: b.operation,
+		Operation: params.operation,
 		Kind:      figpier.EditGiveKey,
 		Key:       k,
 		KeyID:     k.ID(),
 	})
 	if err != nil {
-		return givenKey{}, err
+		return issuedKey{}, err
 	}
 	if r.KeyID() != k.ID() {
-		return givenKey{receipt: r}, nil
+		// The receipt is of an earlier edit with this operation ID, so the new secret is not in force.
+		return issuedKey{receipt: r}, nil
 	}
-	return givenKey{receipt: r, secret: secret}, nil
+	return issuedKey{receipt: r, secret: secret}, nil
 }
 
-func (e *editor) withdrawKey(ctx context.Context, b basis, id string) (*figpier.Receipt, error) {
+func (e *editor) withdrawKey(ctx context.Context, params editParams, id string) (*figpier.Receipt, error) {
 	return e.submit(ctx, figpier.EditConfig{
-		Operation: b.operation,
+		Operation: params.operation,
 		Kind:      figpier.EditWithdrawKey,
 		KeyID:     id,
 	})
 }
 
+// submit returns a *figpier.OutcomeUnknownError when the wait ends before the edit is known to be accepted or rejected.
 func (e *editor) submit(ctx context.Context, c figpier.EditConfig) (*figpier.Receipt, error) {
 	bounded, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -127,7 +135,7 @@
 	return figpier.OperationID(hex.EncodeToString(randomBytes(operationIDSize)))
 }
 
-// randomBytes returns bytes of the operating system's random source, which never fails.
+// randomBytes returns n bytes from the operating system's secure random source. crypto/rand never returns an error.
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	_, _ = rand.Read(b)
--- a/internal/control/operator/failure.go
+++ b/internal/control/operator/failure.go
@@ -16,7 +16,7 @@
 	"github.com/figpier/figpier/internal/host/jsonc"
 )
 
-// Names of the failures in the design.
+// Failure names in answers, as the API design declares them.
 const (
 	failureConflict       = "conflict"
 	failureInvalid        = "invalid"
@@ -28,10 +28,10 @@
 	failureInternal       = "internal"
 )
 
-// bodyField stands for the whole body in a failure.
+// bodyField is the field reported for an error that concerns the request body as a whole.
 const bodyField = "body"
 
-var statusOf = map[string]int{
+var statusByFailure = map[string]int{
 	failureConflict:       http.StatusConflict,
 	failureInvalid:        http.StatusBadRequest,
 	failureNotFound:       http.StatusNotFound,
@@ -42,7 +42,7 @@
 	failureInternal:       http.StatusInternalServerError,
 }
 
-// InvalidFieldError reports a field of a request that can't be accepted at any revision.
+// InvalidFieldError reports a request field whose value is invalid, whatever the current revision is.
 type InvalidFieldError struct {
 	field  string
 	detail string
@@ -58,7 +58,7 @@
 // Error implements error.
 func (e *InvalidFieldError) Error() string { return e.field + ": " + e.detail }
 
-// NotFoundError reports an object that does not exist.
+// NotFoundError reports a profile or node that does not exist.
 type NotFoundError struct {
 	kind string
 	name string
@@ -71,7 +71,8 @@
 // Error implements error.
 func (e *NotFoundError) Error() string { return fmt.Sprintf("there is no %s %q", e.kind, e.name) }
 
-// StaleReadError reports a control instance that lost contact with its quorum.
+// StaleReadError reports that the control instance lost contact with the quorum, so that its configuration may be out of
+// date.
 type StaleReadError struct{}
 
 // Error implements error.
@@ -79,24 +80,25 @@
 	return fmt.Sprintf("this control instance has had no contact with a quorum for %v: ask another one", maxQuorumAge)
 }
 
-func unauthorized() *api.Failure {
+func newUnauthorizedFailure() *api.Failure {
 	return &api.Failure{
 		Name:    failureUnauthorized,
 		Message: "the operator's token is missing or unknown",
 	}
 }
 
-// failureOf returns the answer to a request that failed.
-func failureOf(err error, o figpier.OperationID) *api.Failure {
+// toFailure converts an error to the API's failure. The operation is the ID of a failed edit and empty for a read. An
+// error of unknown type becomes an internal failure.
+func toFailure(err error, operation figpier.OperationID) *api.Failure {
 	var conflict *figpier.ConflictError
 	var leader *figpier.NotLeaderError
 	var unknown *figpier.OutcomeUnknownError
-	var missing *NotFoundError
-	var node *UnreachedNodeError
+	var notFound *NotFoundError
+	var unreachable *NodeUnreachableError
 	var stale *StaleReadError
 	f := &api.Failure{Name: failureInternal, Message: err.Error()}
-	if o != "" {
-		f.Operation = pointer(string(o))
+	if operation != "" {
+		f.Operation = pointer(string(operation))
 	}
 	switch {
 	case errors.As(err, &conflict):
@@ -107,17 +109,19 @@
 		f.Leader = pointer(string(leader.Leader()))
 	case errors.As(err, &unknown):
 		f.Name = failureOutcomeUnknown
-	case errors.As(err, &missing):
+	case errors.As(err, &notFound):
 		f.Name = failureNotFound
-	case errors.As(err, &node), errors.As(err, &stale):
+	case errors.As(err, &unreachable), errors.As(err, &stale):
 		f.Name = failureUnreached
-	case describeInvalid(err, f):
+	case setInvalidField(err, f):
 		f.Name = failureInvalid
 	}
 	return f
 }
 
-func describeInvalid(err error, f *api.Failure) bool {
+// setInvalidField reports whether an error is due to an invalid request, and sets the failure's field and line if the
+// error has them.
+func setInvalidField(err error, f *api.Failure) bool {
 	var problems *jsonc.ProblemsError
 	var field *InvalidFieldError
 	var edit *figpier.InvalidEditError
@@ -134,16 +138,17 @@
 	return true
 }
 
-// formatted is a failure in the form that the design gives it.
-type formatted struct {
+// failureResponse writes a failure as an HTTP response with the status and the body that the API design declares.
+type failureResponse struct {
 	failure *api.Failure
 }
 
-// format returns the form of a failure, also of those that goa found in a request.
-func format(_ context.Context, err error) goahttp.Statuser {
+// formatError converts an error to an HTTP response; goa's own errors, such as those for requests that it can't decode,
+// become failures too.
+func formatError(_ context.Context, err error) goahttp.Statuser {
 	var failure *api.Failure
 	if errors.As(err, &failure) {
-		return formatted{failure: failure}
+		return failureResponse{failure: failure}
 	}
 	f := &api.Failure{Name: failureInvalid, Message: err.Error()}
 	var service *goa.ServiceError
@@ -156,14 +161,14 @@
 			f.Name = failureInternal
 		}
 	}
-	return formatted{failure: f}
+	return failureResponse{failure: f}
 }
 
 // StatusCode implements goahttp.Statuser.
-func (f formatted) StatusCode() int { return statusOf[f.failure.Name] }
+func (f failureResponse) StatusCode() int { return statusByFailure[f.failure.Name] }
 
 // MarshalJSON implements json.Marshaler.
-func (f formatted) MarshalJSON() ([]byte, error) {
+func (f failureResponse) MarshalJSON() ([]byte, error) {
 	return json.Marshal(server.NewApplyProfileInvalidResponseBody(f.failure))
 }
 
--- a/internal/control/operator/handler.go
+++ b/internal/control/operator/handler.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	maxBodySize = 2 * profile.MaxSize // a profile file with all its characters escaped
-	readTimeout = 30 * time.Second
+	maxBodySize = 2 * profile.MaxSize // bytes; fits a profile file whose characters are all escaped in JSON
+	readTimeout = 30 * time.Second    // for the body of a request
 	openAPIPath = "/openapi.json"
 )
 
 //go:embed openapi3.json
 var openAPI []byte
 
-// newHandler returns the API behind the check of the operators' tokens.
-func newHandler(m *methods, tokens []Token) http.Handler {
+// newHandler returns the HTTP handler of the API. Every request needs an operator's token except for the OpenAPI document.
+func newHandler(m *apiService, tokens []Token) http.Handler {
 	mux := goahttp.NewMuxer()
-	server.Mount(mux, server.New(api.NewEndpoints(m), mux, decoder, encoder, nil, format))
+	server.Mount(mux, server.New(api.NewEndpoints(m), mux, decoder, encoder, nil, formatError))
 	h := http.NewServeMux()
 	h.HandleFunc("GET "+openAPIPath, serveOpenAPI)
-	h.Handle("/", authenticated(mux, tokens))
+	h.Handle("/", requireToken(mux, tokens))
 	return h
 }
 
-// authenticated lets operators' requests through, bounds their bodies, and notes the operator.
-func authenticated(next http.Handler, tokens []Token) http.Handler {
+// requireToken passes on requests with a known operator's token, with the operator's name in their context. It bounds the
+// size of their bodies and the time to read them, and answers other requests with 401 Unauthorized.
+func requireToken(next http.Handler, tokens []Token) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name, ok := operatorOf(tokens, r)
+		name, ok := authenticate(tokens, r)
 		if !ok {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusUnauthorized)
-			_ = json.NewEncoder(w).Encode(format(r.Context(), unauthorized()))
+			_ = json.NewEncoder(w).Encode(formatError(r.Context(), newUnauthorizedFailure()))
 			return
 		}
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout))
@@ -63,14 +64,15 @@
 	return json.NewEncoder(w)
 }
 
+// operatorKey is the context key for the operator's name.
 type operatorKey struct{}
 
 func withOperator(ctx context.Context, name string) context.Context {
 	return context.WithValue(ctx, operatorKey{}, name)
 }
 
-// operatorIn returns the operator whose request it is, empty when the token was not looked up.
-func operatorIn(ctx context.Context) string {
+// operatorFromContext returns the name of the operator who sent the request, empty if requireToken did not set it.
+func operatorFromContext(ctx context.Context) string {
 	name, _ := ctx.Value(operatorKey{}).(string)
 	return name
 }
--- a/internal/control/operator/node.go
+++ b/internal/control/operator/node.go
@@ -9,33 +9,35 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-const explainTimeout = 2 * time.Second
+// viewNodeTimeout bounds the wait for a node's answer.
+const viewNodeTimeout = 2 * time.Second
 
-// UnreachedNodeError reports a node that did not answer.
-type UnreachedNodeError struct {
+// NodeUnreachableError reports a node that is known but could not be asked.
+type NodeUnreachableError struct {
 	instance figpier.InstanceID
 	cause    error
 }
 
 // Error implements error.
-func (e *UnreachedNodeError) Error() string {
-	return "the node " + string(e.instance) + " did not answer: " + e.cause.Error()
+func (e *NodeUnreachableError) Error() string {
+	return "node " + string(e.instance) + " did not answer: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *UnreachedNodeError) Unwrap() error { return e.cause }
+func (e *NodeUnreachableError) Unwrap() error { return e.cause }
 
-// node asks a node which of its limits hold requests back.
-func (r *reader) node(ctx context.Context, i figpier.InstanceID) (*api.NodeView, error) {
-	m, ok := r.member(i)
-	if !ok || r.asker == nil {
+// viewNode asks a node which of its limits currently delay or refuse requests. It returns a *NotFoundError for a node that
+// is not registered.
+func (r *reader) viewNode(ctx context.Context, i figpier.InstanceID) (*api.NodeView, error) {
+	m, ok := r.findMember(i)
+	if !ok || r.messenger == nil {
 		return nil, newNotFoundError("node", string(i))
 	}
-	bounded, cancel := context.WithTimeout(ctx, explainTimeout)
+	bounded, cancel := context.WithTimeout(ctx, viewNodeTimeout)
 	defer cancel()
 	var e message.Explanation
-	if err := r.asker.Ask(bounded, m.MessageAddress(), figpier.MethodExplain, struct{}{}, &e); err != nil {
-		return nil, &UnreachedNodeError{instance: i, cause: err}
+	if err := r.messenger.Ask(bounded, m.MessageAddress(), figpier.MethodExplain, struct{}{}, &e); err != nil {
+		return nil, &NodeUnreachableError{instance: i, cause: err}
 	}
 	view := &api.NodeView{
 		Instance: string(i),
@@ -56,7 +58,7 @@
 	return view, nil
 }
 
-func (r *reader) member(i figpier.InstanceID) (*figpier.Member, bool) {
+func (r *reader) findMember(i figpier.InstanceID) (*figpier.Member, bool) {
 	if r.registry == nil {
 		return nil, false
 	}
--- a/internal/control/operator/node_test.go
+++ b/internal/control/operator/node_test.go
@@ -19,8 +19,8 @@
 	_ figpier.Messenger = (*fakeMessenger)(nil)
 )
 
-// fakeRegistry knows one node.
-type fakeRegistry struct{ service }
+// fakeRegistry holds one node, dates-1.
+type fakeRegistry struct{ noopService }
 
 func (fakeRegistry) Name() figpier.ServiceName               { return figpier.RegistryService }
 func (fakeRegistry) Announce(*figpier.Member, time.Duration) {}
@@ -40,9 +40,9 @@
 	return figpier.NewMemberDelta(figpier.MemberDeltaConfig{Members: []*figpier.Member{m}})
 }
 
-// fakeMessenger answers for the node or fails with a set error.
+// fakeMessenger answers in place of the node dates-1, with err if it is set.
 type fakeMessenger struct {
-	service
+	noopService
 	err error
 }
 
@@ -59,7 +59,7 @@
 	return m.err
 }
 
-// fakeLog knew itself current with a quorum some time ago.
+// fakeLog reports a fixed time since the last contact with a quorum.
 type fakeLog struct {
 	figpier.ReplicatedLog
 	age time.Duration
@@ -73,38 +73,38 @@
 
 func (l *fakeLog) QuorumAge(time.Time) time.Duration { return l.age }
 
-func TestInstanceWithoutQuorumShowsNothingAsCurrent(t *testing.T) {
+func TestInstanceWithoutQuorumRefusesReads(t *testing.T) {
 	l := &fakeLog{age: maxQuorumAge}
-	_, url := start(t, l)
+	_, url := startServer(t, l)
 	paths := []string{"/v1/profiles", "/v1/profiles/booking", "/v1/assignments", "/v1/keys"}
 	for _, p := range paths {
-		assert.Equal(t, ask(t, "GET", url+p, "", nil), http.StatusOK, p)
+		assert.Equal(t, send(t, "GET", url+p, "", nil), http.StatusOK, p)
 	}
 	l.age++
 	for _, p := range paths {
-		assert.Equal(t, ask(t, "GET", url+p, "", nil), http.StatusBadGateway, p)
+		assert.Equal(t, send(t, "GET", url+p, "", nil), http.StatusBadGateway, p)
 	}
-	assert.Equal(t, ask(t, "GET", url+"/v1/status", "", nil), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/status", "", nil), http.StatusOK)
 }
 
-// service does nothing at its start and stop.
-type service struct{}
+// noopService supplies Start and Stop to fakes that need neither.
+type noopService struct{}
 
-func (service) Start(context.Context, figpier.Directory) error { return nil }
-func (service) Stop(context.Context) error                     { return nil }
+func (noopService) Start(context.Context, figpier.Directory) error { return nil }
+func (noopService) Stop(context.Context) error                     { return nil }
 
 func TestViewNodeAsksTheNode(t *testing.T) {
 	m := &fakeMessenger{}
-	_, url := start(t, fakeRegistry{}, m)
+	_, url := startServer(t, fakeRegistry{}, m)
 	var view client.ViewNodeResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/nodes/dates-1", "", &view), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/nodes/dates-1", "", &view), http.StatusOK)
 	assert.Equal(t, *view.Service, "dates")
 	assert.Equal(t, *view.Bindings[0].Customer, "valv")
 	assert.Equal(t, *view.Bindings[0].SinceMillis, int64(1500))
-	assert.Equal(t, ask(t, "GET", url+"/v1/nodes/none", "", nil), http.StatusNotFound)
+	assert.Equal(t, send(t, "GET", url+"/v1/nodes/none", "", nil), http.StatusNotFound)
 
 	m.err = io.ErrClosedPipe
 	var f client.ApplyProfileInvalidResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/nodes/dates-1", "", &f), http.StatusBadGateway)
+	assert.Equal(t, send(t, "GET", url+"/v1/nodes/dates-1", "", &f), http.StatusBadGateway)
 	assert.Equal(t, *f.Name, failureUnreached)
 }
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -25,7 +25,7 @@
 
 const token = "tok-1"
 
-// fakeCatalog accepts every edit or fails with a set error, and answers a resend with the first receipt.
+// fakeCatalog accepts every edit at revision 7, or returns err if it is set. A resend gets the receipt of the first edit.
 type fakeCatalog struct {
 	mu       sync.Mutex
 	err      error
@@ -57,7 +57,7 @@
 
 func (c *fakeCatalog) last() *figpier.Edit { return c.edits[len(c.edits)-1] }
 
-func start(t *testing.T, others ...figpier.Service) (*fakeCatalog, string) {
+func startServer(t *testing.T, others ...figpier.Service) (*fakeCatalog, string) {
 	t.Helper()
 	c := &fakeCatalog{receipts: map[figpier.OperationID]*figpier.Receipt{}, current: sampleConfiguration()}
 	l := logrus.New()
@@ -97,17 +97,17 @@
 	})
 }
 
-func encoded(t *testing.T, document string) string {
+func encodeDocument(t *testing.T, document string) string {
 	t.Helper()
 	body, err := json.Marshal(map[string]string{"document": document})
 	assert.NilError(t, err)
 	return string(body)
 }
 
-func ask(t *testing.T, method, url, body string, into any) int {
+func send(t *testing.T, method, url, body string, into any) int {
 	t.Helper()
-	if strings.HasPrefix(body, profileStart) {
-		body = encoded(t, body)
+	if strings.HasPrefix(body, profilePrefix) {
+		body = encodeDocument(t, body)
 	}
 	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -121,7 +121,7 @@
 	return a.StatusCode
 }
 
-const profileStart = `{
+const profilePrefix = `{
   "name": "booking"`
 
 const profileText = `{
@@ -132,7 +132,7 @@
 }`
 
 func TestOnlyOperatorsGetIn(t *testing.T) {
-	c, url := start(t)
+	c, url := startServer(t)
 	for _, header := range [][]string{
 		nil, {"Bearer "}, {"Bearer wrong"}, {"bearer " + token}, {token}, {"Bearer " + token, "Bearer " + token},
 	} {
@@ -147,9 +147,9 @@
 }
 
 func TestApplyProfile(t *testing.T) {
-	c, url := start(t)
+	c, url := startServer(t)
 	var receipt client.ApplyProfileResponseBody
-	status := ask(t, "PUT", url+"/v1/profiles/booking?base=4&operation=op1", profileText, &receipt)
+	status := send(t, "PUT", url+"/v1/profiles/booking?base=4&operation=op1", profileText, &receipt)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, *receipt.Revision, int64(7))
 	assert.Equal(t, *receipt.Operation, "op1")
@@ -158,7 +158,7 @@
 }
 
 func TestInvalidEditsNameTheFieldAndChangeNothing(t *testing.T) {
-	c, url := start(t)
+	c, url := startServer(t)
 	tests := []struct {
 		name, method, path, body, field string
 		line                            int
@@ -168,7 +168,7 @@
 		{"no base", "PUT", "/v1/profiles/booking", profileText, "base", 0},
 		{"negative base", "PUT", "/v1/profiles/booking?base=-1", profileText, "base", 0},
 		{"long operation", "PUT", "/v1/profiles/booking?base=0&operation=" + strings.Repeat("x", 129), profileText, "operation", 0},
-		{"body too long", "PUT", "/v1/profiles/booking?base=0", strings.Repeat(" ", maxBodySize) + encoded(t, profileText), "body", 0},
+		{"body too long", "PUT", "/v1/profiles/booking?base=0", strings.Repeat(" ", maxBodySize) + encodeDocument(t, profileText), "body", 0},
 		{"no profile", "PUT", "/v1/assignments/dates?base=0", `{}`, "profile", 0},
 		{"empty profile", "PUT", "/v1/assignments/dates?base=0", `{"profile": ""}`, "profile", 0},
 		{"service with a colon", "PUT", "/v1/assignments/a:b?base=0", `{"profile": "booking"}`, "service", 0},
@@ -178,7 +178,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var f client.ApplyProfileInvalidResponseBody
-			assert.Equal(t, ask(t, tt.method, url+tt.path, tt.body, &f), http.StatusBadRequest)
+			assert.Equal(t, send(t, tt.method, url+tt.path, tt.body, &f), http.StatusBadRequest)
 			assert.Equal(t, *f.Name, failureInvalid)
 			assert.Equal(t, *f.Field, tt.field)
 			if tt.line != 0 {
@@ -190,18 +190,18 @@
 }
 
 func TestSecretIsShownOnceAndOnlyItsDigestIsKept(t *testing.T) {
-	c, url := start(t)
+	c, url := startServer(t)
 	var first, again client.GiveKeyResponseBody
-	assert.Equal(t, ask(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &first), http.StatusOK)
+	assert.Equal(t, send(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &first), http.StatusOK)
 	assert.Assert(t, first.Secret != nil)
 	assert.Equal(t, c.last().Key().Digest(), figpier.KeyDigest(sha256.Sum256([]byte(*first.Secret))))
-	assert.Equal(t, ask(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &again), http.StatusOK)
+	assert.Equal(t, send(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &again), http.StatusOK)
 	assert.Assert(t, again.Secret == nil, "a resend made a secret that is not in force")
 	assert.Equal(t, *again.Key, *first.Key)
 }
 
 func TestFailuresOfTheCatalogKeepTheirType(t *testing.T) {
-	c, url := start(t)
+	c, url := startServer(t)
 	tests := []struct {
 		err    error
 		status int
@@ -217,7 +217,7 @@
 	for _, tt := range tests {
 		c.err = tt.err
 		var f client.ApplyProfileInvalidResponseBody
-		assert.Equal(t, ask(t, "DELETE", url+"/v1/keys/k1?base=6&operation=op", "", &f), tt.status)
+		assert.Equal(t, send(t, "DELETE", url+"/v1/keys/k1?base=6&operation=op", "", &f), tt.status)
 		assert.Equal(t, *f.Name, tt.name)
 		assert.Equal(t, *f.Operation, "op")
 		if tt.name == failureConflict {
@@ -227,29 +227,29 @@
 }
 
 func TestReads(t *testing.T) {
-	_, url := start(t)
+	_, url := startServer(t)
 	var profiles client.ListProfilesResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/profiles", "", &profiles), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/profiles", "", &profiles), http.StatusOK)
 	line := profiles.Profiles[0]
 	assert.Equal(t, *line.Name, "booking")
 	assert.Equal(t, *line.Revision, int64(4))
 	assert.DeepEqual(t, line.Services, []string{"dates"})
 	var view client.ViewProfileResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/profiles/booking", "", &view), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/profiles/booking", "", &view), http.StatusOK)
 	assert.Assert(t, strings.Contains(*view.Document, `"path": "/a"`))
-	assert.Equal(t, ask(t, "GET", url+"/v1/profiles/none", "", nil), http.StatusNotFound)
+	assert.Equal(t, send(t, "GET", url+"/v1/profiles/none", "", nil), http.StatusNotFound)
 	var keys client.ListKeysResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/keys", "", &keys), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/keys", "", &keys), http.StatusOK)
 	assert.Equal(t, *keys.Keys[0].ID, "k1")
 	assert.Equal(t, *keys.Keys[0].Customer, "valv")
 	var status client.ViewStatusResponseBody
-	assert.Equal(t, ask(t, "GET", url+"/v1/status", "", &status), http.StatusOK)
+	assert.Equal(t, send(t, "GET", url+"/v1/status", "", &status), http.StatusOK)
 	assert.Equal(t, *status.Instance, "control-1")
 	assert.Equal(t, *status.Keys, 1)
 }
 
 func TestOpenAPIIsWhatGoaGenerated(t *testing.T) {
-	_, url := start(t)
+	_, url := startServer(t)
 	answer, err := http.Get(url + "/openapi.json")
 	assert.NilError(t, err)
 	served, err := io.ReadAll(answer.Body)
--- a/internal/control/operator/reader.go
+++ b/internal/control/operator/reader.go
@@ -11,35 +11,37 @@
 	"github.com/figpier/figpier/internal/host/profile"
 )
 
-// maxQuorumAge is the time in which an accepted edit is in force everywhere, so that an older view can't be shown as current.
+// maxQuorumAge is the longest time since the last contact with the quorum at which reads are still answered. An accepted
+// edit takes effect everywhere within it, so an older configuration must not be presented as current.
 const maxQuorumAge = 4 * time.Second
 
-// reader answers what operators want to see.
+// reader answers the read requests of the API. The log, the registry and the messenger are nil where the process has none.
 type reader struct {
-	instance figpier.InstanceID
-	catalog  figpier.Catalog
-	log      figpier.ReplicatedLog
-	registry figpier.Registry
-	asker    figpier.Messenger
-	clock    figpier.Clock
+	instance  figpier.InstanceID
+	catalog   figpier.Catalog
+	log       figpier.ReplicatedLog
+	registry  figpier.Registry
+	messenger figpier.Messenger
+	clock     figpier.Clock
 }
 
 func newReader(i figpier.InstanceID, c figpier.Catalog, d figpier.Directory) *reader {
 	r := &reader{instance: i, catalog: c, clock: d.Clock()}
-	if l, err := figpier.FindLog(d); err == nil {
-		r.log = l
+	if log, err := figpier.FindLog(d); err == nil {
+		r.log = log
 	}
-	if m, err := figpier.FindRegistry(d); err == nil {
-		r.registry = m
+	if registry, err := figpier.FindRegistry(d); err == nil {
+		r.registry = registry
 	}
-	if m, err := figpier.FindMessenger(d); err == nil {
-		r.asker = m
+	if messenger, err := figpier.FindMessenger(d); err == nil {
+		r.messenger = messenger
 	}
 	return r
 }
 
-// current returns the newest accepted configuration, or a StaleReadError when newer ones may have been accepted elsewhere.
-func (r *reader) current() (*figpier.Configuration, error) {
+// currentConfiguration returns the newest accepted configuration, or a *StaleReadError if this instance may have missed
+// newer ones.
+func (r *reader) currentConfiguration() (*figpier.Configuration, error) {
 	if r.log != nil {
 		if r.log.QuorumAge(r.clock.Now()) > maxQuorumAge {
 			return nil, &StaleReadError{}
@@ -49,7 +51,7 @@
 }
 
 func (r *reader) profiles() (*api.ProfileList, error) {
-	c, err := r.current()
+	c, err := r.currentConfiguration()
 	if err != nil {
 		return nil, err
 	}
@@ -66,6 +68,7 @@
 	return list, nil
 }
 
+// servicesOf returns the services that a profile is assigned to, in order.
 func servicesOf(c *figpier.Configuration, name figpier.ProfileName) []string {
 	services := []string{}
 	for s, a := range c.Assignments() {
@@ -78,7 +81,7 @@
 }
 
 func (r *reader) profile(name figpier.ProfileName) (*api.ProfileView, error) {
-	c, err := r.current()
+	c, err := r.currentConfiguration()
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +101,7 @@
 }
 
 func (r *reader) assignments() (*api.AssignmentList, error) {
-	c, err := r.current()
+	c, err := r.currentConfiguration()
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +118,7 @@
 }
 
 func (r *reader) keys() (*api.KeyList, error) {
-	c, err := r.current()
+	c, err := r.currentConfiguration()
 	if err != nil {
 		return nil, err
 	}
@@ -137,6 +140,7 @@
 	return list, nil
 }
 
+// status reports what this instance knows, also when it has lost the quorum; QuorumAgeMillis shows for how long.
 func (r *reader) status() *api.Status {
 	c := r.catalog.Configuration()
 	s := &api.Status{
--- a/internal/control/operator/service.go
+++ b/internal/control/operator/server.go
@@ -11,30 +11,30 @@
 	"github.com/figpier/figpier/internal/link/web"
 )
 
-// Error is the class of failures to serve the operator API.
+// Error is the class of errors of the operator API's server, which includes reading its token file.
 var Error = errs.Class("operator")
 
 // Config builds a Server.
 type Config struct {
 	// Instance is the name of the control instance.
 	Instance figpier.InstanceID
-	// Address is the IP address and port of the API.
+	// Address is the IP address and port to listen on.
 	Address string
 	// Tokens are the operators who may use the API.
 	Tokens []Token
-	// TLS secures the API, nil for plain loopback.
+	// TLS is the listener's TLS configuration, nil for plain HTTP on loopback.
 	TLS *tls.Config
-	// Log receives a line for each edit.
+	// Log receives one entry for each edit, accepted or not.
 	Log *logrus.Entry
 }
 
-// Server is the operator API of a control instance.
+// Server is the service that listens for requests to the operator API.
 type Server struct {
 	config   Config
 	listener *web.Server
 }
 
-// New returns a server that is not started.
+// New returns a server; Start opens its listener.
 func New(c Config) *Server { return &Server{config: c} }
 
 // Name implements figpier.Service.
@@ -46,7 +46,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	m := &methods{
+	m := &apiService{
 		editor: &editor{catalog: c},
 		reader: newReader(s.config.Instance, c, d),
 		log:    s.config.Log,
@@ -67,5 +67,5 @@
 	return s.listener.Shutdown(ctx)
 }
 
-// Address returns the API's address once the server has started.
+// Address returns the IP address and port that the server listens on. The server must have been started.
 func (s *Server) Address() string { return s.listener.Address() }
--- a/internal/control/operator/token.go
+++ b/internal/control/operator/token.go
@@ -22,7 +22,7 @@
 	Digest [sha256.Size]byte
 }
 
-// Token lets one operator in.
+// Token identifies an operator by the digest of the secret token that the operator sends.
 type Token struct {
 	config TokenConfig
 }
@@ -33,7 +33,8 @@
 // Operator returns the name of the operator.
 func (t Token) Operator() string { return t.config.Operator }
 
-// ReadTokens reads a file with a line for each operator: the SHA-256 digest of the token in hexadecimal, and the operator's name.
+// ReadTokens reads a token file. Each line holds the SHA-256 digest of an operator's token in hexadecimal and the
+// operator's name.
 func ReadTokens(path string) ([]Token, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -42,7 +43,8 @@
 	return ParseTokens(path, string(data))
 }
 
-// ParseTokens checks the text of a file of tokens, in which empty lines and lines that begin with # count for nothing.
+// ParseTokens parses the text of a token file, ignoring empty lines and lines that begin with #. The name is the file's
+// name for error messages. A file without any token is an error.
 func ParseTokens(name, text string) ([]Token, error) {
 	var tokens []Token
 	line := 0
@@ -76,8 +78,9 @@
 	return NewToken(TokenConfig{Operator: fields[1], Digest: [sha256.Size]byte(digest)}), true
 }
 
-// operatorOf returns the operator whose token came with the request, in a time that does not depend on the token.
-func operatorOf(tokens []Token, r *http.Request) (string, bool) {
+// authenticate returns the name of the operator whose token the request carries. It compares the token with all digests in
+// constant time, so that the response time reveals nothing about them.
+func authenticate(tokens []Token, r *http.Request) (string, bool) {
 	values := r.Header.Values("Authorization")
 	if len(values) != 1 {
 		return "", false
