--- a/internal/control/members/registry.go
+++ b/internal/control/members/registry.go
@@ -9,55 +9,65 @@
 	"github.com/figpier/figpier"
 )
 
-// identityLetters hold 60 random bits; every poll names an identity.
-const identityLetters = 12
+// idLength is the length in letters of a registry's ID: 60 random bits. Every poll carries one, so it is kept short.
+const idLength = 12
 
-// Bounds on the members that count as polling a control instance.
+// Bounds on the members that Polling counts.
 const (
-	// departureTime is two polls; a member that has not polled for as long has perhaps gone to another instance.
-	departureTime = 1500 * time.Millisecond
-	// arrivalTime is above departureTime, so that a member which moves is never counted at two instances.
-	arrivalTime = 2 * time.Second
-	// mostTime is how long the greatest number of members is kept: an instance that has just started knows too few.
-	mostTime = 10 * time.Second
+	// pollingTimeout is how long after its last poll a member is still counted. It covers two polls; a member that is
+	// silent for longer may be polling another control instance.
+	pollingTimeout = 1500 * time.Millisecond
+	// minPollingTime is how long a member must have polled this control instance to be counted. It is above
+	// pollingTimeout, so that a member that moves is never counted at two instances.
+	minPollingTime = 2 * time.Second
+	// peakRetention is how long the greatest number of members is reported after the number has dropped, because an
+	// instance that has just started knows too few members.
+	peakRetention = 10 * time.Second
 )
 
 // Config builds a Registry.
 type Config struct {
-	// Lease is how long a member lasts without renewal.
+	// Lease is how long a member stays registered after its last announcement.
 	Lease time.Duration
 }
 
-// Registry implements figpier.Registry.
+// Registry implements figpier.Registry. The control thread makes all changes; mu lets other goroutines read.
 type Registry struct {
 	config  Config
 	id      string
 	control figpier.ControlThread
-	settled time.Time
-	leases  map[figpier.InstanceID]lease
-
-	mu      sync.Mutex
-	local   *table
-	remote  map[figpier.InstanceID]map[figpier.InstanceID]*figpier.Member
+	// settledAt is one lease after the start; by then every live member has announced itself.
+	settledAt time.Time
+	// leases are those of the local members; mu guards them too.
+	leases map[figpier.InstanceID]lease
+
+	mu sync.Mutex
+	// local holds the members that announce themselves to this control instance.
+	local *table
+	// remote holds the members of each other control instance, by the name of that instance.
+	remote map[figpier.InstanceID]map[figpier.InstanceID]*figpier.Member
+	// overall merges local and remote.
 	overall *table
-	// most is the greatest number of members at all control instances, as of a time.
-	most   int
-	mostAt time.Time
+	// peak is the greatest recent size of overall, which was last reached at peakAt.
+	peak   int
+	peakAt time.Time
 }
 
-// lease is the time until which a member of this control instance counts.
+// lease keeps a local member registered until it expires.
 type lease struct {
-	until   time.Time
-	since   time.Time
-	renewed time.Time
-	cancel  func()
+	expiresAt time.Time
+	// pollingSince is when the member was last known to poll another control instance, as it said in its first poll.
+	pollingSince time.Time
+	renewedAt    time.Time
+	// cancel stops the timer that ends the lease.
+	cancel func()
 }
 
-// New returns an empty registry with an identity of its own.
+// New returns an empty registry with a random ID.
 func New(c Config) *Registry {
 	return &Registry{
 		config:  c,
-		id:      rand.Text()[:identityLetters],
+		id:      rand.Text()[:idLength],
 		leases:  map[figpier.InstanceID]lease{},
 		local:   newTable(),
 		remote:  map[figpier.InstanceID]map[figpier.InstanceID]*figpier.Member{},
@@ -71,7 +81,7 @@
 // Start implements figpier.Service.
 func (r *Registry) Start(_ context.Context, d figpier.Directory) error {
 	r.control = d.Control()
-	r.settled = d.Clock().Now().Add(r.config.Lease)
+	r.settledAt = d.Clock().Now().Add(r.config.Lease)
 	return nil
 }
 
@@ -82,7 +92,7 @@
 func (r *Registry) ID() string { return r.id }
 
 // Settled implements figpier.Registry.
-func (r *Registry) Settled(now time.Time) bool { return !now.Before(r.settled) }
+func (r *Registry) Settled(now time.Time) bool { return !now.Before(r.settledAt) }
 
 // Count implements figpier.Registry.
 func (r *Registry) Count() int {
@@ -96,52 +106,56 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.leases {
-		if now.Sub(l.since) >= arrivalTime && now.Sub(l.renewed) <= departureTime {
+		if now.Sub(l.pollingSince) >= minPollingTime && now.Sub(l.renewedAt) <= pollingTimeout {
 			local++
 		}
 	}
-	if n := len(r.overall.members); n >= r.most || now.Sub(r.mostAt) > mostTime {
-		r.most, r.mostAt = n, now
+	if n := len(r.overall.members); n >= r.peak || now.Sub(r.peakAt) > peakRetention {
+		r.peak, r.peakAt = n, now
 	}
-	return local, r.most
+	return local, r.peak
 }
 
-// announced brings a member's announcement and how long ago the member polled another control instance.
-type announced struct {
-	member    *figpier.Member
+// announceEvent carries a member's announcement to the control thread.
+type announceEvent struct {
+	member *figpier.Member
+	// elsewhere is how long ago the member polled another control instance.
 	elsewhere time.Duration
 }
 
 // Target implements figpier.Event.
-func (announced) Target() figpier.ServiceName { return figpier.RegistryService }
+func (announceEvent) Target() figpier.ServiceName { return figpier.RegistryService }
 
-type expired struct{ instance figpier.InstanceID }
+// leaseEndEvent is posted when a member's lease may have expired.
+type leaseEndEvent struct{ instance figpier.InstanceID }
 
 // Target implements figpier.Event.
-func (expired) Target() figpier.ServiceName { return figpier.RegistryService }
+func (leaseEndEvent) Target() figpier.ServiceName { return figpier.RegistryService }
 
-type merged struct {
+// mergeEvent carries a change of the members at another control instance to the control thread.
+type mergeEvent struct {
 	source figpier.InstanceID
 	delta  figpier.MemberDelta
-	full   bool
+	// full means that the delta lists all members, so that those known before are removed first.
+	full bool
 }
 
 // Target implements figpier.Event.
-func (merged) Target() figpier.ServiceName { return figpier.RegistryService }
+func (mergeEvent) Target() figpier.ServiceName { return figpier.RegistryService }
 
 // Announce implements figpier.Registry.
 func (r *Registry) Announce(m *figpier.Member, elsewhere time.Duration) {
-	_ = r.control.Post(announced{member: m, elsewhere: elsewhere})
+	_ = r.control.Post(announceEvent{member: m, elsewhere: elsewhere})
 }
 
 // Merge implements figpier.Registry.
 func (r *Registry) Merge(source figpier.InstanceID, d figpier.MemberDelta, full bool) {
-	_ = r.control.Post(merged{source: source, delta: d, full: full})
+	_ = r.control.Post(mergeEvent{source: source, delta: d, full: full})
 }
 
 // Drop implements figpier.Registry.
 func (r *Registry) Drop(source figpier.InstanceID) {
-	_ = r.control.Post(merged{source: source, full: true})
+	_ = r.control.Post(mergeEvent{source: source, full: true})
 }
 
 // HandleEvent implements figpier.EventHandler.
@@ -149,16 +163,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch e := e.(type) {
-	case announced:
+	case announceEvent:
 		r.renew(now, e)
-	case expired:
+	case leaseEndEvent:
 		r.expire(now, e.instance)
-	case merged:
+	case mergeEvent:
 		r.merge(e)
 	}
 }
 
-func (r *Registry) renew(now time.Time, e announced) {
+// renew registers a member or extends its lease; an announcement older than the registered one is ignored.
+func (r *Registry) renew(now time.Time, e announceEvent) {
 	m := e.member
 	id := m.Instance()
 	old, ok := r.local.members[id]
@@ -168,56 +183,59 @@
 	since := now.Add(-e.elsewhere)
 	if l, ok := r.leases[id]; ok {
 		l.cancel()
-		since = l.since
+		since = l.pollingSince
 	}
 	r.leases[id] = lease{
-		until:   now.Add(r.config.Lease),
-		since:   since,
-		renewed: now,
-		cancel:  r.control.PostAfter(r.config.Lease, expired{instance: id}),
+		expiresAt:    now.Add(r.config.Lease),
+		pollingSince: since,
+		renewedAt:    now,
+		cancel:       r.control.PostAfter(r.config.Lease, leaseEndEvent{instance: id}),
 	}
 	r.local.put(m)
-	r.refresh(id)
+	r.updateOverall(id)
 }
 
+// expire removes a member unless its lease was renewed after the event was posted.
 func (r *Registry) expire(now time.Time, id figpier.InstanceID) {
 	l, ok := r.leases[id]
-	if !ok || now.Before(l.until) {
+	if !ok || now.Before(l.expiresAt) {
 		return
 	}
 	delete(r.leases, id)
 	r.local.remove(id)
-	r.refresh(id)
+	r.updateOverall(id)
 }
 
-func (r *Registry) merge(e merged) {
+// merge applies a change of the members at another control instance.
+func (r *Registry) merge(e mergeEvent) {
 	members, ok := r.remote[e.source]
 	if !ok {
 		members = map[figpier.InstanceID]*figpier.Member{}
 		r.remote[e.source] = members
 	}
-	touched := map[figpier.InstanceID]struct{}{}
+	affected := map[figpier.InstanceID]struct{}{}
 	if e.full {
 		for id := range members {
-			touched[id] = struct{}{}
+			affected[id] = struct{}{}
 		}
 		clear(members)
 	}
 	for _, m := range e.delta.Members() {
 		members[m.Instance()] = m
-		touched[m.Instance()] = struct{}{}
+		affected[m.Instance()] = struct{}{}
 	}
 	for _, id := range e.delta.Gone() {
 		delete(members, id)
-		touched[id] = struct{}{}
+		affected[id] = struct{}{}
 	}
-	for id := range touched {
-		r.refresh(id)
+	for id := range affected {
+		r.updateOverall(id)
 	}
 }
 
-// refresh makes the overall table show the newest announcement of an instance at any control instance.
-func (r *Registry) refresh(id figpier.InstanceID) {
+// updateOverall sets an instance's entry in the overall table to its newest announcement at any control instance, or
+// removes it if there is none.
+func (r *Registry) updateOverall(id figpier.InstanceID) {
 	newest := r.local.members[id].member
 	for _, members := range r.remote {
 		m, ok := members[id]
--- a/internal/control/members/registry_test.go
+++ b/internal/control/members/registry_test.go
@@ -9,7 +9,7 @@
 	"github.com/figpier/figpier"
 )
 
-// fakeControl keeps delayed events for the test to deliver.
+// fakeControl discards events; the tests pass them to HandleEvent themselves.
 type fakeControl struct{}
 
 func (fakeControl) Post(figpier.Event) error                      { return nil }
@@ -18,7 +18,7 @@
 	return figpier.NewMember(figpier.MemberConfig{Instance: id, Sequence: sequence})
 }
 
-func names(d figpier.MemberDelta) []string {
+func instanceNames(d figpier.MemberDelta) []string {
 	list := []string{}
 	for _, m := range d.Members() {
 		list = append(list, string(m.Instance()))
@@ -26,22 +26,22 @@
 	return list
 }
 
-func TestMemberThatMovesBetweenControlInstancesIsNeverGone(t *testing.T) {
+func TestMemberThatMovesBetweenControlInstancesStaysRegistered(t *testing.T) {
 	r := New(Config{Lease: 3 * time.Second})
 	r.control = fakeControl{}
 	now := time.Unix(0, 0)
-	r.HandleEvent(now, announced{member: member("b1", 1)})
+	r.HandleEvent(now, announceEvent{member: member("b1", 1)})
 	before := r.Since(0).Version()
 
 	other := figpier.NewMemberDelta(figpier.MemberDeltaConfig{Members: []*figpier.Member{member("b1", 1)}})
-	r.HandleEvent(now, merged{source: "c2", delta: other, full: true})
-	r.HandleEvent(now.Add(3*time.Second), expired{instance: "b1"})
-	assert.DeepEqual(t, names(r.Since(0)), []string{"b1"})
+	r.HandleEvent(now, mergeEvent{source: "c2", delta: other, full: true})
+	r.HandleEvent(now.Add(3*time.Second), leaseEndEvent{instance: "b1"})
+	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{"b1"})
 	assert.Equal(t, len(r.Since(before).Gone()), 0)
-	assert.DeepEqual(t, names(r.LocalSince(0)), []string{})
+	assert.DeepEqual(t, instanceNames(r.LocalSince(0)), []string{})
 
-	r.HandleEvent(now, merged{source: "c2", full: true})
-	assert.DeepEqual(t, names(r.Since(0)), []string{})
+	r.HandleEvent(now, mergeEvent{source: "c2", full: true})
+	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{})
 	assert.Equal(t, len(r.Since(before).Gone()), 1)
 }
 
@@ -49,15 +49,15 @@
 	r := New(Config{Lease: 3 * time.Second})
 	r.control = fakeControl{}
 	now := time.Unix(0, 0)
-	r.HandleEvent(now, announced{member: member("b1", 1)})
-	r.HandleEvent(now.Add(2*time.Second), announced{member: member("b1", 1)})
-	r.HandleEvent(now.Add(3*time.Second), expired{instance: "b1"})
-	assert.DeepEqual(t, names(r.Since(0)), []string{"b1"})
-	r.HandleEvent(now.Add(5*time.Second), expired{instance: "b1"})
-	assert.DeepEqual(t, names(r.Since(0)), []string{})
+	r.HandleEvent(now, announceEvent{member: member("b1", 1)})
+	r.HandleEvent(now.Add(2*time.Second), announceEvent{member: member("b1", 1)})
+	r.HandleEvent(now.Add(3*time.Second), leaseEndEvent{instance: "b1"})
+	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{"b1"})
+	r.HandleEvent(now.Add(5*time.Second), leaseEndEvent{instance: "b1"})
+	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{})
 }
 
-func TestMemberThatMovesCountsAtNoTwoControlInstances(t *testing.T) {
+func TestMovingMemberIsNeverCountedAtTwoControlInstances(t *testing.T) {
 	start := time.Unix(0, 0)
 	left, joined := New(Config{Lease: 3 * time.Second}), New(Config{Lease: 3 * time.Second})
 	left.control, joined.control = fakeControl{}, fakeControl{}
@@ -67,7 +67,7 @@
 		if at >= moves {
 			polled, elsewhere = joined, at-moves+100*time.Millisecond
 		}
-		polled.HandleEvent(now, announced{member: member("b1", 1), elsewhere: elsewhere})
+		polled.HandleEvent(now, announceEvent{member: member("b1", 1), elsewhere: elsewhere})
 		before, _ := left.Polling(now)
 		after, _ := joined.Polling(now)
 		assert.Assert(t, before+after <= 1, "%v: %d and %d", at, before, after)
@@ -76,25 +76,25 @@
 	assert.Equal(t, counted, 1)
 }
 
-func TestMemberThatNobodyElseCountsCountsAtOnce(t *testing.T) {
+func TestMemberNotCountedElsewhereIsCountedAtOnce(t *testing.T) {
 	r := New(Config{Lease: 3 * time.Second})
 	r.control = fakeControl{}
 	now := time.Unix(0, 0)
-	r.HandleEvent(now, announced{member: member("b1", 1), elsewhere: arrivalTime - time.Millisecond})
-	r.HandleEvent(now, announced{member: member("b2", 1), elsewhere: arrivalTime})
+	r.HandleEvent(now, announceEvent{member: member("b1", 1), elsewhere: minPollingTime - time.Millisecond})
+	r.HandleEvent(now, announceEvent{member: member("b2", 1), elsewhere: minPollingTime})
 	counted, _ := r.Polling(now)
 	assert.Equal(t, counted, 1)
 }
 
-func TestFewerMembersAreBelievedLate(t *testing.T) {
+func TestDropInMemberCountIsReportedLate(t *testing.T) {
 	r := New(Config{Lease: 3 * time.Second})
 	r.control = fakeControl{}
 	now := time.Unix(0, 0)
-	r.HandleEvent(now, announced{member: member("b1", 1)})
-	r.HandleEvent(now, announced{member: member("b2", 1)})
+	r.HandleEvent(now, announceEvent{member: member("b1", 1)})
+	r.HandleEvent(now, announceEvent{member: member("b2", 1)})
 	_, all := r.Polling(now)
 	assert.Equal(t, all, 2)
-	r.HandleEvent(now.Add(4*time.Second), expired{instance: "b1"})
+	r.HandleEvent(now.Add(4*time.Second), leaseEndEvent{instance: "b1"})
 	_, all = r.Polling(now.Add(4 * time.Second))
 	assert.Equal(t, all, 2)
 	_, all = r.Polling(now.Add(time.Minute))
--- a/internal/control/shards/doc.go
+++ b/internal/control/shards/doc.go
@@ -1,2 +1,3 @@
-// Package shards assigns shards to nodes on the leading control instance and keeps the assignments in the control log.
+// Package shards assigns shards to nodes. Every control instance keeps the assignments, which are replicated through the
+// control log; the leading one decides on them and grants nodes their leases.
 package shards
--- a/internal/control/shards/messages.go
+++ b/internal/control/shards/messages.go
@@ -10,26 +10,27 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// renewal is a node's renewal on its way to the control thread.
-type renewal struct {
+// renewalEvent carries a node's request to renew its lease to the control thread, which sends the answer.
+type renewalEvent struct {
 	message message.ShardRenewal
 	answer  chan *message.ShardLease
 }
 
 // Target implements figpier.Event.
-func (*renewal) Target() figpier.ServiceName { return figpier.ShardAssignerService }
+func (*renewalEvent) Target() figpier.ServiceName { return figpier.ShardAssignerService }
 
-// lookup is a node's lookup on its way to the control thread.
-type lookup struct {
+// lookupEvent carries a node's request for a shard's assignment to the control thread, which sends the answer.
+type lookupEvent struct {
 	message message.ShardLookup
 	answer  chan *message.ShardFound
 }
 
 // Target implements figpier.Event.
-func (*lookup) Target() figpier.ServiceName { return figpier.ShardAssignerService }
+func (*lookupEvent) Target() figpier.ServiceName { return figpier.ShardAssignerService }
 
-func (s *Service) renew(ctx context.Context, decode figpier.Decode) (any, error) {
-	e := &renewal{answer: make(chan *message.ShardLease, 1)}
+// handleRenewal handles figpier.MethodShardRenew.
+func (s *Service) handleRenewal(ctx context.Context, decode figpier.Decode) (any, error) {
+	e := &renewalEvent{answer: make(chan *message.ShardLease, 1)}
 	if err := decode(&e.message); err != nil {
 		return nil, err
 	}
@@ -44,8 +45,9 @@
 	}
 }
 
-func (s *Service) lookup(ctx context.Context, decode figpier.Decode) (any, error) {
-	e := &lookup{answer: make(chan *message.ShardFound, 1)}
+// handleLookup handles figpier.MethodShardLookup.
+func (s *Service) handleLookup(ctx context.Context, decode figpier.Decode) (any, error) {
+	e := &lookupEvent{answer: make(chan *message.ShardFound, 1)}
 	if err := decode(&e.message); err != nil {
 		return nil, err
 	}
@@ -60,9 +62,10 @@
 	}
 }
 
-// renewed grants a lease, unless this instance does not lead for certain.
-func (s *Service) renewed(now time.Time, m message.ShardRenewal) *message.ShardLease {
-	if s.assigner == nil || s.shards.Term() != s.term || !s.mayLead(now) {
+// renewLease processes a node's reports on its shards and renews its lease. The result is empty if this instance is not
+// certain that it leads, and leaves out the assignments if the node already has the same ones.
+func (s *Service) renewLease(now time.Time, m message.ShardRenewal) *message.ShardLease {
+	if s.assigner == nil || s.shards.Term() != s.term || !s.isLeader(now) {
 		return &message.ShardLease{}
 	}
 	member := shard.MemberID(m.Member)
@@ -70,7 +73,7 @@
 		next := s.assigner.Report(member, shard.ID(r.Shard), shard.Epoch(r.Epoch),
 			codec.ToMemberIDs(r.Synced), codec.ToMemberIDs(r.Silent), now)
 		if next != nil {
-			s.wanted = append(s.wanted, next)
+			s.pending = append(s.pending, next)
 		}
 	}
 	held := s.assigner.Renew(shard.HostConfig{
@@ -88,7 +91,8 @@
 	return l
 }
 
-func (s *Service) found(m message.ShardLookup) *message.ShardFound {
+// findShard returns the newest assignment of a shard that this instance knows, which need not be the leader's.
+func (s *Service) findShard(m message.ShardLookup) *message.ShardFound {
 	a, ok := s.shards.Assignment(shard.ID(m.Shard))
 	if !ok {
 		return &message.ShardFound{}
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -16,47 +16,57 @@
 )
 
 const (
-	// tickTime is the interval between decisions.
-	tickTime = 250 * time.Millisecond
-	// quorumTime is the greatest age of the quorum's consent at which a leader grants leases.
-	quorumTime = time.Second
-	// proposalTime bounds the wait for a proposal to be accepted.
-	proposalTime = 2 * time.Second
+	// tickInterval is the interval between decisions.
+	tickInterval = 250 * time.Millisecond
+	// maxQuorumAge is the longest time since the last contact with the quorum at which a leader still grants leases.
+	maxQuorumAge = time.Second
+	// proposalTimeout bounds the wait for a proposal to be accepted.
+	proposalTimeout = 2 * time.Second
 )
 
 // Config builds a Service.
 type Config struct {
 	// Instance is the control instance's name.
 	Instance figpier.InstanceID
-	// LeaseTime is the length of a control lease.
+	// LeaseTime is how long a node may act for its shards after each renewal.
 	LeaseTime time.Duration
-	// ClockError bounds how far two clocks drift apart during a lease.
+	// ClockError is the greatest drift between the clocks of two machines during a lease.
 	ClockError time.Duration
-	// LossTime is how long all members of a replicated shard must be gone before its state counts as lost.
+	// LossTime is how long all members of a replicated shard must be gone before it restarts with an empty state.
 	LossTime time.Duration
 	// Backups is the number of backups of a replicated shard.
 	Backups int
-	// Log receives a line for each shard that changes hands.
+	// Log receives one entry for each shard that gets another primary.
 	Log *logrus.Entry
 }
 
-// Service assigns shards while its control instance leads.
+// Service assigns shards while its control instance leads. It is also the state machine of the control log that holds the
+// assignments.
 type Service struct {
 	config  Config
 	log     figpier.ReplicatedLog
 	control figpier.ControlThread
 	clock   figpier.Clock
-	work    context.Context
-	hosts   atomic.Int64
-	idle    atomic.Int64
-
-	// The fields below are control state.
-	shards    *shard.Map
-	assigner  *shard.Assigner
-	term      string
-	leading   bool
+	// ctx ends with the service; proposals run under it.
+	ctx context.Context
+	// hostCount and idleCount are the values of the gauges, 0 while another instance leads.
+	hostCount atomic.Int64
+	idleCount atomic.Int64
+
+	// The fields below are used on the control thread alone.
+
+	// shards are the assignments in the control log.
+	shards *shard.Map
+	// assigner makes decisions in the term that this instance began, nil until that term is in force.
+	assigner *shard.Assigner
+	// term names the newest term that this instance proposed.
+	term string
+	// leading is set once the term was proposed.
+	leading bool
+	// proposing is set while a proposal is under way; there is one at a time.
 	proposing bool
-	wanted    []*shard.Assignment
+	// pending are the assignments due to nodes' reports that the next proposal will include.
+	pending []*shard.Assignment
 }
 
 // New returns a service without assignments.
@@ -67,7 +77,7 @@
 
 // Start implements figpier.Service.
 func (s *Service) Start(ctx context.Context, d figpier.Directory) (err error) {
-	s.work = ctx
+	s.ctx = ctx
 	s.control = d.Control()
 	s.clock = d.Clock()
 	if s.log, err = figpier.FindLog(d); err != nil {
@@ -81,85 +91,88 @@
 	if err != nil {
 		return err
 	}
-	c.Gauge("figpier_shard_hosts", func() float64 { return float64(s.hosts.Load()) })
-	c.Gauge("figpier_shards_idle", func() float64 { return float64(s.idle.Load()) })
-	m.Handle(figpier.MethodShardRenew, s.renew)
-	m.Handle(figpier.MethodShardLookup, s.lookup)
-	s.control.PostAfter(tickTime, tick{})
+	c.Gauge("figpier_shard_hosts", func() float64 { return float64(s.hostCount.Load()) })
+	c.Gauge("figpier_shards_idle", func() float64 { return float64(s.idleCount.Load()) })
+	m.Handle(figpier.MethodShardRenew, s.handleRenewal)
+	m.Handle(figpier.MethodShardLookup, s.handleLookup)
+	s.control.PostAfter(tickInterval, tickEvent{})
 	return nil
 }
 
 // Stop implements figpier.Service.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// tick is due for decisions.
-type tick struct{}
+// tickEvent is posted every tickInterval.
+type tickEvent struct{}
 
 // Target implements figpier.Event.
-func (tick) Target() figpier.ServiceName { return figpier.ShardAssignerService }
+func (tickEvent) Target() figpier.ServiceName { return figpier.ShardAssignerService }
 
-// proposed tells that a proposal ended.
-type proposed struct {
+// proposalEndEvent carries the outcome of a proposal to the control thread.
+type proposalEndEvent struct {
 	term string
 	err  error
 }
 
 // Target implements figpier.Event.
-func (proposed) Target() figpier.ServiceName { return figpier.ShardAssignerService }
+func (proposalEndEvent) Target() figpier.ServiceName { return figpier.ShardAssignerService }
 
 // HandleEvent implements figpier.EventHandler.
 func (s *Service) HandleEvent(now time.Time, e figpier.Event) {
 	switch e := e.(type) {
-	case tick:
+	case tickEvent:
 		s.tick(now)
-		s.control.PostAfter(tickTime, tick{})
-	case proposed:
-		s.proposed(now, e)
-	case *renewal:
-		e.answer <- s.renewed(now, e.message)
-	case *lookup:
-		e.answer <- s.found(e.message)
+		s.control.PostAfter(tickInterval, tickEvent{})
+	case proposalEndEvent:
+		s.endProposal(now, e)
+	case *renewalEvent:
+		e.answer <- s.renewLease(now, e.message)
+	case *lookupEvent:
+		e.answer <- s.findShard(e.message)
 	}
 }
 
-// mayLead reports whether this instance leads the log for certain.
-func (s *Service) mayLead(now time.Time) bool {
-	return s.log.Leader() == s.config.Instance && s.log.QuorumAge(now) < quorumTime
+// isLeader reports whether this instance leads the log and had contact with the quorum recently enough to be sure of it.
+func (s *Service) isLeader(now time.Time) bool {
+	return s.log.Leader() == s.config.Instance && s.log.QuorumAge(now) < maxQuorumAge
 }
 
+// tick begins a term when this instance has become leader, proposes the next assignments while it leads, and gives up the
+// assigner when it no longer does.
 func (s *Service) tick(now time.Time) {
-	if !s.mayLead(now) || s.assigner != nil && s.shards.Term() != s.term {
+	if !s.isLeader(now) || s.assigner != nil && s.shards.Term() != s.term {
 		s.leading = false
 		s.assigner = nil
-		s.wanted = nil
-		s.hosts.Store(0)
-		s.idle.Store(0)
+		s.pending = nil
+		s.hostCount.Store(0)
+		s.idleCount.Store(0)
 		return
 	}
 	if !s.leading {
-		s.begin()
+		s.beginTerm()
 		return
 	}
 	if s.assigner == nil {
 		return
 	}
-	s.hosts.Store(int64(s.assigner.Hosts(now)))
-	s.idle.Store(int64(s.assigner.Idle(now)))
+	s.hostCount.Store(int64(s.assigner.Hosts(now)))
+	s.idleCount.Store(int64(s.assigner.Idle(now)))
 	if s.proposing {
 		return
 	}
-	next := append(s.wanted, s.assigner.Decide(now)...)
-	s.wanted = nil
+	next := append(s.pending, s.assigner.Decide(now)...)
+	s.pending = nil
 	if len(next) > 0 {
-		s.explain(next)
+		s.logPrimaryChanges(next)
 		s.propose(message.ShardCommand{Term: s.term, Shards: codec.FromShardAssignments(next)})
 	}
 }
 
-// explain logs the shards that get another primary.
-func (s *Service) explain(next []*shard.Assignment) {
+// logPrimaryChanges logs the shards that get another primary; "anew" says that the shard's earlier state is lost.
+func (s *Service) logPrimaryChanges(next []*shard.Assignment) {
 	for _, a := range next {
 		if a.Epoch() != a.Stream() || a.Epoch() == 1 {
+			// The primary stays, or it is the shard's first.
 			continue
 		}
 		s.config.Log.WithFields(logrus.Fields{
@@ -167,17 +180,19 @@
 			"epoch":   uint64(a.Epoch()),
 			"primary": string(a.Primary()),
 			"anew":    a.Origin() == a.Epoch(),
-		}).Info("the shard gets another primary")
+		}).Info("shard gets another primary")
 	}
 }
 
-// begin proposes a new term: once it is applied, every assignment of earlier leaders is, or never will be.
-func (s *Service) begin() {
+// beginTerm proposes a new term. Once that command is applied, assignments that earlier leaders proposed have either been
+// applied before it or will be rejected.
+func (s *Service) beginTerm() {
 	s.term = string(s.config.Instance) + "/" + rand.Text()
 	s.leading = true
 	s.propose(message.ShardCommand{Begin: true, Term: s.term})
 }
 
+// propose has a command committed in a goroutine of its own, which posts a proposalEndEvent at the end.
 func (s *Service) propose(c message.ShardCommand) {
 	command, err := json.Marshal(c)
 	if err != nil {
@@ -186,14 +201,16 @@
 	s.proposing = true
 	term := s.term
 	go func() {
-		ctx, cancel := context.WithTimeout(s.work, proposalTime)
+		ctx, cancel := context.WithTimeout(s.ctx, proposalTimeout)
 		defer cancel()
 		_, err := s.log.Propose(ctx, command)
-		_ = s.control.Post(proposed{term: term, err: err})
+		_ = s.control.Post(proposalEndEvent{term: term, err: err})
 	}()
 }
 
-func (s *Service) proposed(now time.Time, p proposed) {
+// endProposal starts the assigner when the proposal that ended has put this instance's term in force. If the term was not
+// accepted, the next tick begins another one.
+func (s *Service) endProposal(now time.Time, p proposalEndEvent) {
 	if p.term != s.term {
 		return
 	}
@@ -208,7 +225,7 @@
 	s.assigner = s.newAssigner(now)
 }
 
-// newAssigner returns an assigner that takes no shard away while leases of an earlier leader may hold.
+// newAssigner returns an assigner that moves no shard while leases that an earlier leader granted may still hold.
 func (s *Service) newAssigner(now time.Time) *shard.Assigner {
 	c := shard.AssignerConfig{
 		Shards:     shard.Count,
@@ -218,5 +235,5 @@
 		ClockError: s.config.ClockError,
 		LossTime:   s.config.LossTime,
 	}
-	return shard.NewAssigner(c, s.shards, now.Add(quorumTime+s.config.LeaseTime+s.config.ClockError))
+	return shard.NewAssigner(c, s.shards, now.Add(maxQuorumAge+s.config.LeaseTime+s.config.ClockError))
 }
--- a/internal/control/shards/state.go
+++ b/internal/control/shards/state.go
@@ -9,11 +9,12 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures of the assigner.
+// Error is the class of errors of this package.
 var Error = errs.Class("shards")
 
-// Apply implements figpier.StateMachine: it begins a term, or installs the assignments that were decided in the present one.
-func (s *Service) Apply(_ uint64, command []byte) (answer any) {
+// Apply implements figpier.StateMachine. A command begins a term or installs assignments; those decided in an earlier term
+// are ignored. The result is nil, or an error for a command that can't be decoded.
+func (s *Service) Apply(_ uint64, command []byte) (result any) {
 	var c message.ShardCommand
 	if err := json.Unmarshal(command, &c); err != nil {
 		return Error.Wrap(err)
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// Snapshot implements figpier.StateMachine.
+// Snapshot implements figpier.StateMachine. A snapshot is a command that begins the term and installs all assignments.
 func (s *Service) Snapshot() ([]byte, error) {
 	data, err := json.Marshal(message.ShardCommand{
 		Begin:  true,
--- a/internal/control/subscription/doc.go
+++ b/internal/control/subscription/doc.go
@@ -1,2 +1,2 @@
-// Package subscription answers the nodes that follow the configuration and the members from a control instance.
+// Package subscription answers nodes' polls for changes of the configuration and of the members.
 package subscription
--- a/internal/control/subscription/history.go
+++ b/internal/control/subscription/history.go
@@ -8,7 +8,8 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// maxRemovals is the number of removed objects that are remembered for deltas.
+// maxRemovals is the number of removed objects that the history keeps; a node that missed older ones gets the whole
+// configuration.
 const maxRemovals = 8192
 
 // removal is a profile or key that is no longer in the configuration.
@@ -18,33 +19,38 @@
 	key      string
 }
 
-// history remembers what was removed from the configuration, so that nodes can be sent what changed alone.
+// history keeps the newest configuration and the latest removals from it, so that nodes can be sent only what changed.
+// Additions need no record, because every object carries its revision.
 type history struct {
 	mu sync.Mutex
-	// complete is the revision after which every removal is remembered.
-	complete figpier.Revision
-	current  *figpier.Configuration
+	// completeSince is the revision after which no removal is missing.
+	completeSince figpier.Revision
+	// current is nil before the first configuration.
+	current *figpier.Configuration
+	// removals are in the order of their revisions.
 	removals []removal
-	changed  chan struct{}
+	// changed is closed when the next configuration is installed.
+	changed chan struct{}
 }
 
 func newHistory() *history { return &history{changed: make(chan struct{})} }
 
-// install notes what a newer configuration lacks, and wakes the waiting polls.
+// install makes a newer configuration the current one, records what it no longer has, and wakes the waiting polls.
 func (h *history) install(c *figpier.Configuration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.current == nil {
-		h.complete = c.Revision()
+		h.completeSince = c.Revision()
 	} else {
-		h.note(c)
+		h.recordRemovals(c)
 	}
 	h.current = c
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func (h *history) note(c *figpier.Configuration) {
+// recordRemovals records the profiles and keys that a newer configuration no longer has; the mutex must be held.
+func (h *history) recordRemovals(c *figpier.Configuration) {
 	for name := range h.current.Profiles() {
 		if _, ok := c.Profiles()[name]; !ok {
 			h.removals = append(h.removals, removal{revision: c.Revision(), profile: name})
@@ -56,23 +62,24 @@
 		}
 	}
 	for len(h.removals) > maxRemovals {
-		h.complete = h.removals[0].revision
+		h.completeSince = h.removals[0].revision
 		h.removals = h.removals[1:]
 	}
 }
 
-// news returns the newest configuration and a channel that closes at the next one.
-func (h *history) news() (*figpier.Configuration, <-chan struct{}) {
+// latest returns the newest configuration, nil if there is none yet, and a channel that is closed when a newer one is
+// installed.
+func (h *history) latest() (*figpier.Configuration, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current, h.changed
 }
 
-// since returns what changed after a revision, or false when the whole configuration must be sent.
+// since returns what changed after a revision, or false if the history does not reach back that far.
 func (h *history) since(base figpier.Revision) (*message.ConfigurationDelta, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if base < h.complete {
+	if base < h.completeSince {
 		return nil, false
 	}
 	d := &message.ConfigurationDelta{
@@ -93,6 +100,7 @@
 	return d, true
 }
 
+// changedSince returns the objects of a configuration that were added or changed after a revision.
 func changedSince(c *figpier.Configuration, base figpier.Revision) *figpier.Configuration {
 	changed := figpier.ConfigurationConfig{
 		Revision:    c.Revision(),
--- a/internal/control/subscription/history_test.go
+++ b/internal/control/subscription/history_test.go
@@ -12,7 +12,8 @@
 	"github.com/figpier/figpier/internal/wire/codec"
 )
 
-// TestDeltasLeadToTheSameConfiguration holds deltas from any earlier revision against the whole configuration.
+// TestDeltasLeadToTheSameConfiguration checks that a node that applies deltas after random edits, and skips some polls, has
+// the same configuration as the server.
 func TestDeltasLeadToTheSameConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory()
@@ -20,7 +21,7 @@
 		h.install(c)
 		follower := c
 		for range rapid.IntRange(1, 40).Draw(t, "edits") {
-			c = edited(t, c)
+			c = randomEdit(t, c)
 			h.install(c)
 			if !rapid.Bool().Draw(t, "poll") {
 				continue
@@ -29,7 +30,7 @@
 			assert.Assert(t, ok)
 			next, err := codec.ApplyDelta(follower, *d)
 			assert.NilError(t, err)
-			assert.Equal(t, text(t, next), text(t, c))
+			assert.Equal(t, encode(t, next), encode(t, c))
 			follower = next
 		}
 	})
@@ -44,7 +45,8 @@
 	assert.Assert(t, ok)
 }
 
-func edited(t *rapid.T, c *figpier.Configuration) *figpier.Configuration {
+// randomEdit returns the configuration after one random edit.
+func randomEdit(t *rapid.T, c *figpier.Configuration) *figpier.Configuration {
 	next := c.Clone()
 	n := rapid.IntRange(0, 3).Draw(t, "object")
 	name := figpier.ProfileName(fmt.Sprint("p", n))
@@ -68,7 +70,7 @@
 	return figpier.NewConfiguration(next)
 }
 
-func text(t *rapid.T, c *figpier.Configuration) string {
+func encode(t *rapid.T, c *figpier.Configuration) string {
 	data, err := json.Marshal(codec.FromConfiguration(c))
 	assert.NilError(t, err)
 	return string(data)
--- a/internal/control/subscription/server.go
+++ b/internal/control/subscription/server.go
@@ -9,17 +9,18 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// maxWait is the longest that a poll waits for a change.
-const maxWait = 2 * time.Second
+// maxPollWait is the longest time that a poll waits for a change.
+const maxPollWait = 2 * time.Second
 
-// unknownAge stands for the age of an instance that never knew itself current; it is far above any freshness bound.
-const unknownAge = 24 * time.Hour
+// maxReportedAge caps the quorum age in answers, which is unlimited for an instance that never had contact with a quorum.
+// It is far above any freshness bound of the nodes.
+const maxReportedAge = 24 * time.Hour
 
-// unsettledWait is how long a poll waits while the registry is not settled, so that members become known soon after they
-// announce themselves.
+// unsettledWait is how long a poll waits while the registry is not settled: short, so that nodes learn of members soon
+// after these announce themselves.
 const unsettledWait = 200 * time.Millisecond
 
-// Server is the service that answers the nodes' polls.
+// Server is the service that answers nodes' polls.
 type Server struct {
 	catalog  figpier.Catalog
 	log      figpier.ReplicatedLog
@@ -54,32 +55,34 @@
 	if err != nil {
 		return err
 	}
-	s.catalog.Subscribe(func(c *figpier.Configuration) { _ = d.Control().Post(accepted{configuration: c}) })
-	m.Handle(figpier.MethodPoll, s.poll)
-	return d.Control().Post(accepted{configuration: s.catalog.Configuration()})
+	s.catalog.Subscribe(func(c *figpier.Configuration) { _ = d.Control().Post(configurationEvent{configuration: c}) })
+	m.Handle(figpier.MethodPoll, s.handlePoll)
+	return d.Control().Post(configurationEvent{configuration: s.catalog.Configuration()})
 }
 
 // Stop implements figpier.Service.
 func (s *Server) Stop(context.Context) error { return nil }
 
-// accepted is a configuration that the catalog accepted.
-type accepted struct{ configuration *figpier.Configuration }
+// configurationEvent carries an accepted configuration to the control thread.
+type configurationEvent struct{ configuration *figpier.Configuration }
 
 // Target implements figpier.Event.
-func (accepted) Target() figpier.ServiceName { return figpier.SubscriptionService }
+func (configurationEvent) Target() figpier.ServiceName { return figpier.SubscriptionService }
 
 // HandleEvent implements figpier.EventHandler.
 func (s *Server) HandleEvent(_ time.Time, e figpier.Event) {
-	a, ok := e.(accepted)
+	a, ok := e.(configurationEvent)
 	if !ok {
 		return
 	}
-	if current, _ := s.history.news(); current == nil || current.Revision() < a.configuration.Revision() {
+	if current, _ := s.history.latest(); current == nil || current.Revision() < a.configuration.Revision() {
 		s.history.install(a.configuration)
 	}
 }
 
-func (s *Server) poll(ctx context.Context, decode figpier.Decode) (any, error) {
+// handlePoll handles figpier.MethodPoll. The poll of a node that runs beside a backend server also renews its lease. A node
+// whose member versions belong to another registry, such as that of a restarted control instance, gets all members.
+func (s *Server) handlePoll(ctx context.Context, decode figpier.Decode) (any, error) {
 	var p message.Poll
 	if err := decode(&p); err != nil {
 		return nil, err
@@ -90,9 +93,9 @@
 	full := p.Registry != s.registry.ID()
 	switch {
 	case !full:
-		s.wait(ctx, p)
+		s.waitForChange(ctx, p)
 	case !s.registry.Settled(s.clock.Now()):
-		s.hold(ctx, p)
+		s.delayUnsettled(ctx, p)
 	}
 	if full {
 		p.MemberVersion = 0
@@ -100,28 +103,30 @@
 	return s.answer(p, full), nil
 }
 
-// wait returns when there is something to tell or when the poll's time is over.
-func (s *Server) wait(ctx context.Context, p message.Poll) {
-	c, configurationChanged := s.history.news()
+// waitForChange returns once the configuration or the members are newer than the node's, or when the poll's waiting time is
+// over.
+func (s *Server) waitForChange(ctx context.Context, p message.Poll) {
+	c, configurationChanged := s.history.latest()
 	d := s.registry.Since(uint64(p.MemberVersion))
 	if c == nil || int(c.Revision()) > p.Revision || d.Version() != uint64(p.MemberVersion) {
 		return
 	}
-	wait := min(time.Duration(p.WaitMillis)*time.Millisecond, maxWait)
-	s.pause(ctx, wait, configurationChanged, d.Changed())
+	wait := min(time.Duration(p.WaitMillis)*time.Millisecond, maxPollWait)
+	s.waitForEither(ctx, wait, configurationChanged, d.Changed())
 }
 
-// hold keeps nodes from asking without a pause while the registry is not settled.
-func (s *Server) hold(ctx context.Context, p message.Poll) {
-	c, changed := s.history.news()
+// delayUnsettled waits a short time if the node's configuration is current. Without it, nodes would poll in a tight loop
+// while the registry is not settled.
+func (s *Server) delayUnsettled(ctx context.Context, p message.Poll) {
+	c, changed := s.history.latest()
 	if c == nil || int(c.Revision()) > p.Revision {
 		return
 	}
-	s.pause(ctx, unsettledWait, changed, nil)
+	s.waitForEither(ctx, unsettledWait, changed, nil)
 }
 
-// pause waits for a time, for one of two changes or for the end of the context.
-func (s *Server) pause(ctx context.Context, wait time.Duration, a, b <-chan struct{}) {
+// waitForEither returns when one of two channels is closed, the waiting time is over or the context ends.
+func (s *Server) waitForEither(ctx context.Context, wait time.Duration, a, b <-chan struct{}) {
 	over := make(chan struct{})
 	cancel := s.clock.AfterFunc(wait, func() { close(over) })
 	defer cancel()
@@ -134,10 +139,10 @@
 }
 
 func (s *Server) answer(p message.Poll, full bool) *message.PollAnswer {
-	// The age is read before the configuration, which is then at least as new as the age says.
+	// Read the age before the configuration, so that the configuration is at least as new as the age says.
 	age := s.log.QuorumAge(s.clock.Now())
 	a := &message.PollAnswer{
-		QuorumAgeMillis: int(min(age, unknownAge).Milliseconds()) + 1,
+		QuorumAgeMillis: int(min(age, maxReportedAge).Milliseconds()) + 1,
 		Registry:        s.registry.ID(),
 		Full:            full,
 		Settled:         s.registry.Settled(s.clock.Now()),
@@ -156,6 +161,7 @@
 	return a
 }
 
+// addMembers adds the changed members of the services that the node follows, and all removed members.
 func (s *Server) addMembers(a *message.PollAnswer, p message.Poll) {
 	d := s.registry.Since(uint64(p.MemberVersion))
 	a.MemberVersion = int(d.Version())
@@ -169,8 +175,10 @@
 	a.Gone = gone
 }
 
+// addConfiguration adds what changed since the node's revision, as a delta if the history reaches back that far and as a
+// whole configuration otherwise.
 func (s *Server) addConfiguration(a *message.PollAnswer, p message.Poll) {
-	c, _ := s.history.news()
+	c, _ := s.history.latest()
 	if c == nil {
 		return
 	}
