--- a/internal/control/members/registry.go
+++ b/internal/control/members/registry.go
@@ -25,7 +25,7 @@
 	peakRetention = 10 * time.Second
 )
 
-// Config builds a Registry.
+// Config holds the settings of a Registry.
 type Config struct {
 	// Lease is how long a member stays registered after its last announcement.
 	Lease time.Duration
--- a/internal/control/operator/failure.go
+++ b/internal/control/operator/failure.go
@@ -31,6 +31,7 @@
 // bodyField is the field reported for an error that concerns the request body as a whole.
 const bodyField = "body"
 
+// statusByFailure maps the name of a failure to its HTTP status.
 var statusByFailure = map[string]int{
 	failureConflict:       http.StatusConflict,
 	failureInvalid:        http.StatusBadRequest,
--- a/internal/control/operator/handler.go
+++ b/internal/control/operator/handler.go
@@ -24,9 +24,9 @@
 var openAPI []byte
 
 // newHandler returns the HTTP handler of the API. Every request needs an operator's token except for the OpenAPI document.
-func newHandler(m *apiService, tokens []Token) http.Handler {
+func newHandler(s *apiService, tokens []Token) http.Handler {
 	mux := goahttp.NewMuxer()
-	server.Mount(mux, server.New(api.NewEndpoints(m), mux, decoder, encoder, nil, formatError))
+	server.Mount(mux, server.New(api.NewEndpoints(s), mux, newDecoder, newEncoder, nil, formatError))
 	h := http.NewServeMux()
 	h.HandleFunc("GET "+openAPIPath, serveOpenAPI)
 	h.Handle("/", requireToken(mux, tokens))
@@ -56,9 +56,9 @@
 	_, _ = w.Write(openAPI)
 }
 
-func decoder(r *http.Request) goahttp.Decoder { return json.NewDecoder(r.Body) }
+func newDecoder(r *http.Request) goahttp.Decoder { return json.NewDecoder(r.Body) }
 
-func encoder(_ context.Context, w http.ResponseWriter) goahttp.Encoder {
+func newEncoder(_ context.Context, w http.ResponseWriter) goahttp.Encoder {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	return json.NewEncoder(w)
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-func (c *fakeCatalog) last() *figpier.Edit { return c.edits[len(c.edits)-1] }
+func (c *fakeCatalog) lastEdit() *figpier.Edit { return c.edits[len(c.edits)-1] }
 
 func startServer(t *testing.T, others ...figpier.Service) (*fakeCatalog, string) {
 	t.Helper()
@@ -131,7 +131,7 @@
   "retry": {"treeBudget": 3, "share": 0.1, "callerInterval": "1s"},
 }`
 
-func TestOnlyOperatorsGetIn(t *testing.T) {
+func TestRequestsWithoutKnownTokenAreRefused(t *testing.T) {
 	c, url := startServer(t)
 	for _, header := range [][]string{
 		nil, {"Bearer "}, {"Bearer wrong"}, {"bearer " + token}, {token}, {"Bearer " + token, "Bearer " + token},
@@ -153,11 +153,11 @@
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, *receipt.Revision, int64(7))
 	assert.Equal(t, *receipt.Operation, "op1")
-	assert.Equal(t, c.last().Base(), figpier.Revision(4))
-	assert.Equal(t, c.last().Profile().Retry().TreeBudget(), 3)
+	assert.Equal(t, c.lastEdit().Base(), figpier.Revision(4))
+	assert.Equal(t, c.lastEdit().Profile().Retry().TreeBudget(), 3)
 }
 
-func TestInvalidEditsNameTheFieldAndChangeNothing(t *testing.T) {
+func TestInvalidEditsReportTheFieldAndChangeNothing(t *testing.T) {
 	c, url := startServer(t)
 	tests := []struct {
 		name, method, path, body, field string
@@ -194,13 +194,13 @@
 	var first, again client.GiveKeyResponseBody
 	assert.Equal(t, send(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &first), http.StatusOK)
 	assert.Assert(t, first.Secret != nil)
-	assert.Equal(t, c.last().Key().Digest(), figpier.KeyDigest(sha256.Sum256([]byte(*first.Secret))))
+	assert.Equal(t, c.lastEdit().Key().Digest(), figpier.KeyDigest(sha256.Sum256([]byte(*first.Secret))))
 	assert.Equal(t, send(t, "POST", url+"/v1/keys?operation=op2", `{"customer": "valv"}`, &again), http.StatusOK)
 	assert.Assert(t, again.Secret == nil, "a resend made a secret that is not in force")
 	assert.Equal(t, *again.Key, *first.Key)
 }
 
-func TestFailuresOfTheCatalogKeepTheirType(t *testing.T) {
+func TestCatalogErrorsKeepTheirType(t *testing.T) {
 	c, url := startServer(t)
 	tests := []struct {
 		err    error
--- a/internal/control/operator/server.go
+++ b/internal/control/operator/server.go
@@ -14,7 +14,7 @@
 // Error is the class of errors of the operator API's server, which includes reading its token file.
 var Error = errs.Class("operator")
 
-// Config builds a Server.
+// Config holds the settings of a Server.
 type Config struct {
 	// Instance is the name of the control instance.
 	Instance figpier.InstanceID
@@ -46,7 +46,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	m := &apiService{
+	service := &apiService{
 		editor: &editor{catalog: c},
 		reader: newReader(s.config.Instance, c, d),
 		log:    s.config.Log,
@@ -54,7 +54,7 @@
 	s.listener, err = web.Listen(ctx, web.ServerConfig{
 		Address: s.config.Address,
 		TLS:     s.config.TLS,
-		Handler: newHandler(m, s.config.Tokens),
+		Handler: newHandler(service, s.config.Tokens),
 	})
 	return err
 }
--- a/internal/control/operator/token.go
+++ b/internal/control/operator/token.go
@@ -14,7 +14,7 @@
 	commentPrefix = "#"
 )
 
-// TokenConfig builds a Token.
+// TokenConfig holds the fields of a Token.
 type TokenConfig struct {
 	// Operator is the name of the operator in the log.
 	Operator string
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -24,7 +24,7 @@
 	proposalTimeout = 2 * time.Second
 )
 
-// Config builds a Service.
+// Config holds the settings of a Service.
 type Config struct {
 	// Instance is the control instance's name.
 	Instance figpier.InstanceID
@@ -168,7 +168,8 @@
 	}
 }
 
-// logPrimaryChanges logs the shards that get another primary; "anew" says that the shard's earlier state is lost.
+// logPrimaryChanges logs the shards that get another primary. The field "anew" says that the shard starts with an empty
+// state.
 func (s *Service) logPrimaryChanges(next []*shard.Assignment) {
 	for _, a := range next {
 		if a.Epoch() != a.Stream() || a.Epoch() == 1 {
