--- a/internal/link/web/bound.go
+++ b/internal/link/web/bound.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// boundMargin is how long after a request's deadline a refusal may still be written.
-const boundMargin = time.Second
+// refusalMargin is the time after a request's deadline in which a refusal may still be written.
+const refusalMargin = time.Second
 
-// Bound ends a connection whose caller sends or reads too slowly for the remaining time of a request;
-// release is called when the request has ended.
+// Bound sets deadlines on a connection, so that a caller that sends its body or reads the answer too slowly can't hold the
+// request longer than its remaining time. The handler must call release when the request has ended.
 func Bound(w http.ResponseWriter, remaining time.Duration) (release func()) {
 	c := http.NewResponseController(w)
-	end := time.Now().Add(remaining + boundMargin)
+	end := time.Now().Add(remaining + refusalMargin)
 	_ = c.SetReadDeadline(end)
 	_ = c.SetWriteDeadline(end)
 	return func() { _ = c.SetWriteDeadline(time.Time{}) }
 }
 
-// AbortWith ends the writing of an answer with a context, also to a caller that does not read it;
-// release must be called before the handler returns.
+// AbortWith makes writes of an answer fail once the context ends, also a write that is blocked because the caller doesn't
+// read. The handler must call release before it returns.
 func AbortWith(ctx context.Context, w http.ResponseWriter) (release func()) {
 	aborted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/link/web/buffer.go
+++ b/internal/link/web/buffer.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// bufferPool keeps the buffers through which answers stream.
+// bufferPool reuses the buffers through which answers are streamed.
 type bufferPool struct{ pool sync.Pool }
 
 var buffers bufferPool
 
-func (p *bufferPool) take() *[]byte {
+func (p *bufferPool) get() *[]byte {
 	if b, ok := p.pool.Get().(*[]byte); ok {
 		return b
 	}
@@ -15,4 +15,4 @@
 	return &b
 }
 
-func (p *bufferPool) give(b *[]byte) { p.pool.Put(b) }
+func (p *bufferPool) put(b *[]byte) { p.pool.Put(b) }
--- a/internal/link/web/check.go
+++ b/internal/link/web/check.go
@@ -7,41 +7,44 @@
 	"github.com/figpier/figpier"
 )
 
-// Bounds on what a caller may set.
 const (
+	// maxIdempotencyKeyBytes is the greatest length of an idempotency key.
 	maxIdempotencyKeyBytes = 256
-	// minSecretBytes is the least length of a key that is looked for elsewhere in a request.
-	minSecretBytes = 8
+	// minSearchedKeyBytes is the least length of a customer key that is searched for in the rest of a request; a shorter
+	// one could occur there by chance.
+	minSearchedKeyBytes = 8
 )
 
-// Check returns a *figpier.Refusal for a request that must not be passed on, with one reserved header allowed.
+// Check returns a *figpier.Refusal for a request that must not be passed on: one with an ambiguous path, with a header that
+// only the system may set other than the allowed one, or with the customer key in a place that the backend server sees.
 func Check(r *http.Request, allowed string) error {
-	if !safeTarget(r) {
-		return malformed("path")
+	if !unambiguousTarget(r) {
+		return refuseMalformed("path")
 	}
-	if name, found := FirstReserved(r.Header, allowed); found {
-		return reserved(name)
+	if name, found := FindReservedHeader(r.Header, allowed); found {
+		return refuseReservedHeader(name)
 	}
-	if name, found := FirstReserved(r.Trailer, ""); found {
-		return reserved(name)
+	if name, found := FindReservedHeader(r.Trailer, ""); found {
+		return refuseReservedHeader(name)
 	}
-	names := r.Header.Values(figpier.HeaderIdempotencyKey)
-	if len(names) > 1 || len(names) == 1 && len(names[0]) > maxIdempotencyKeyBytes {
-		return malformed(figpier.HeaderIdempotencyKey)
+	idempotencyKeys := r.Header.Values(figpier.HeaderIdempotencyKey)
+	if len(idempotencyKeys) > 1 || len(idempotencyKeys) == 1 && len(idempotencyKeys[0]) > maxIdempotencyKeyBytes {
+		return refuseMalformed(figpier.HeaderIdempotencyKey)
 	}
-	return checkSecrets(r)
+	return checkKeyNotRepeated(r)
 }
 
-func malformed(detail string) error {
+func refuseMalformed(detail string) error {
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalMalformed, Detail: detail})
 }
 
-func reserved(name string) error {
+func refuseReservedHeader(name string) error {
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalHeaderReserved, Detail: name})
 }
 
-// safeTarget reports whether every server reads the same path from the request target.
-func safeTarget(r *http.Request) bool {
+// unambiguousTarget reports whether all servers extract the same path from the request target. An escaped slash or
+// backslash is read differently by different servers.
+func unambiguousTarget(r *http.Request) bool {
 	if r.URL.RawPath == "" {
 		return figpier.SafePath(r.URL.Path)
 	}
@@ -52,10 +55,11 @@
 	return figpier.SafePath(r.URL.Path)
 }
 
-// checkSecrets refuses a request that repeats its key where the backend server would see it.
-func checkSecrets(r *http.Request) error {
+// checkKeyNotRepeated refuses a request that has its customer key also in the path, the query or another header, where the
+// backend server would see it.
+func checkKeyNotRepeated(r *http.Request) error {
 	for _, key := range r.Header[figpier.HeaderKey] {
-		if len(key) < minSecretBytes {
+		if len(key) < minSearchedKeyBytes {
 			continue
 		}
 		if strings.Contains(r.URL.RawQuery, key) || strings.Contains(r.URL.Path, key) || headersContain(r.Header, key) {
@@ -82,8 +86,8 @@
 	return false
 }
 
-// withoutSecrets returns the values that contain none of the keys.
-func withoutSecrets(values, keys []string) []string {
+// valuesWithoutKeys returns the header values that contain none of the customer keys.
+func valuesWithoutKeys(values, keys []string) []string {
 	var kept []string
 	for _, v := range values {
 		if !containsAny(v, keys) {
@@ -95,7 +99,7 @@
 
 func containsAny(v string, keys []string) bool {
 	for _, key := range keys {
-		if len(key) >= minSecretBytes && strings.Contains(v, key) {
+		if len(key) >= minSearchedKeyBytes && strings.Contains(v, key) {
 			return true
 		}
 	}
--- a/internal/link/web/dispatch.go
+++ b/internal/link/web/dispatch.go
@@ -15,17 +15,17 @@
 	"github.com/figpier/figpier"
 )
 
-// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, in milliseconds.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, whose value is in milliseconds; package syscall lacks it.
 const tcpUserTimeout = 18
 
-// probeCount is the number of keep-alive probes without answer after which a connection is closed.
-const probeCount = 2
+// keepAliveProbes is the number of unanswered keep-alive probes after which a connection is closed.
+const keepAliveProbes = 2
 
-// TransportConfig builds a transport.
+// TransportConfig holds the settings of a transport.
 type TransportConfig struct {
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// Unanswered is how long the other end's host may leave data or a probe without acknowledgement.
+	// Unanswered is how long the other host may leave data or a keep-alive probe unacknowledged.
 	Unanswered time.Duration
 	// IdleTimeout is how long a connection without a request is kept.
 	IdleTimeout time.Duration
@@ -33,7 +33,7 @@
 	IdleConnections int
 }
 
-// NewTransport returns an HTTP/1.1 transport whose connections end when the other host goes silent.
+// NewTransport returns an HTTP/1.1 transport that closes connections to a host that no longer responds.
 func NewTransport(c TransportConfig) *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: c.DialTimeout,
@@ -41,9 +41,9 @@
 			Enable:   true,
 			Idle:     c.Unanswered,
 			Interval: c.Unanswered,
-			Count:    probeCount,
+			Count:    keepAliveProbes,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return endUnanswered(raw, c.Unanswered) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.Unanswered) },
 	}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -53,26 +53,28 @@
 	}
 }
 
-// endUnanswered has the system close a connection whose data stays unacknowledged.
-func endUnanswered(raw syscall.RawConn, after time.Duration) error {
-	var failed error
+// setUserTimeout has the kernel close a connection whose data stays unacknowledged for the timeout.
+func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(after.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(failed)
+	return Error.Wrap(optionErr)
 }
 
-// Dispatch returns a request to send to an address for an inbound one, with its target unchanged and a copy of its headers.
+// Dispatch returns the request that forwards an inbound request to an address, and the record of this attempt. The target
+// is passed on byte for byte, and the headers are copied.
 func Dispatch(ctx context.Context, address string, i *figpier.Inbound, body io.ReadCloser) (*http.Request, *Attempt) {
 	a := &Attempt{}
 	a.bodyEnded.Store(i.Length() == 0)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.reached.Store(true) }}
-	path, query, asked := strings.Cut(i.Target(), "?")
+	path, query, hasQuery := strings.Cut(i.Target(), "?")
 	header := i.Header().Clone()
 	if header.Get("User-Agent") == "" {
+		// Without an entry net/http adds a User-Agent of its own.
 		header.Set("User-Agent", "")
 	}
 	out := &http.Request{
@@ -82,48 +84,49 @@
 			Host:       address,
 			Opaque:     path,
 			RawQuery:   query,
-			ForceQuery: asked && query == "",
+			ForceQuery: hasQuery && query == "",
 		},
 		Host:          i.Host(),
 		Header:        header,
 		Body:          http.NoBody,
 		ContentLength: i.Length(),
 	}
-	if i.Length() != 0 || sentAgain(i) {
-		out.Body = &onceBody{ReadCloser: body, attempt: a}
+	if i.Length() != 0 || retriedByTransport(i) {
+		out.Body = &singleUseBody{ReadCloser: body, attempt: a}
 	}
 	return out.WithContext(httptrace.WithClientTrace(ctx, trace)), a
 }
 
-// sentAgain reports whether net/http would by itself send a request again that has no body.
-func sentAgain(i *figpier.Inbound) bool {
+// retriedByTransport reports whether net/http resends a request without a body by itself when its connection breaks. Such
+// requests get a body that the transport can't replay, because the caller of Dispatch decides on retries.
+func retriedByTransport(i *figpier.Inbound) bool {
 	switch i.Method() {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
 	}
-	_, named := i.Header()["Idempotency-Key"]
-	_, also := i.Header()["X-Idempotency-Key"]
-	return named || also
+	_, hasKey := i.Header()["Idempotency-Key"]
+	_, hasXKey := i.Header()["X-Idempotency-Key"]
+	return hasKey || hasXKey
 }
 
-// EndToEnd returns a copy of the headers without those that concern one connection only or that the system sets.
+// EndToEnd returns a copy of the headers without the hop-by-hop headers and those that only the system may set.
 func EndToEnd(h http.Header) http.Header {
 	kept := make(http.Header, len(h))
-	CopyHeaders(kept, h)
+	CopyEndToEnd(kept, h)
 	return kept
 }
 
-// WatchedBody calls a function once when a body ends: with nil at its end, with the error where it breaks off, or with
-// ErrUnread when it is closed before.
+// WatchedBody is a body that calls a function once when reading it is over: with nil after the whole body, with the error
+// of a failed read, or with ErrUnread if it is closed before its end.
 type WatchedBody struct {
 	io.ReadCloser
-	once sync.Once
-	done func(err error)
+	once  sync.Once
+	onEnd func(err error)
 }
 
-// NewWatchedBody returns a body with a function to call at its end.
-func NewWatchedBody(body io.ReadCloser, done func(err error)) *WatchedBody {
-	return &WatchedBody{ReadCloser: body, done: done}
+// NewWatchedBody returns a WatchedBody; onEnd runs in the goroutine that reads or closes the body.
+func NewWatchedBody(body io.ReadCloser, onEnd func(err error)) *WatchedBody {
+	return &WatchedBody{ReadCloser: body, onEnd: onEnd}
 }
 
 // ErrUnread reports a body that was closed before its end.
@@ -134,9 +137,9 @@
 	n, err := b.ReadCloser.Read(p)
 	switch {
 	case err == io.EOF:
-		b.once.Do(func() { b.done(nil) })
+		b.once.Do(func() { b.onEnd(nil) })
 	case err != nil:
-		b.once.Do(func() { b.done(err) })
+		b.once.Do(func() { b.onEnd(err) })
 	}
 	return n, err
 }
@@ -144,6 +147,6 @@
 // Close implements io.Closer.
 func (b *WatchedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(func() { b.done(ErrUnread) })
+	b.once.Do(func() { b.onEnd(ErrUnread) })
 	return err
 }
--- a/internal/link/web/doc.go
+++ b/internal/link/web/doc.go
@@ -1,2 +1,3 @@
-// Package web holds the HTTP plumbing that the listeners share: headers, refusals and streamed answers.
+// Package web holds the HTTP code that all listeners share: the server and the client transport, checks of requests, the
+// copying of headers, refusals, and the streaming of answers.
 package web
--- a/internal/link/web/headers.go
+++ b/internal/link/web/headers.go
@@ -8,15 +8,17 @@
 	"github.com/figpier/figpier"
 )
 
-var hopByHop = []string{
+// hopByHopHeaders concern one connection only and are never passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CopyHeaders copies the end-to-end headers that callers and backend servers may set.
-func CopyHeaders(to, from http.Header) {
+// CopyEndToEnd copies headers except for the hop-by-hop headers, including those that the Connection header names, and the
+// headers that only the system may set.
+func CopyEndToEnd(to, from http.Header) {
 	dropped := map[string]bool{}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		dropped[name] = true
 	}
 	for _, list := range from["Connection"] {
@@ -31,8 +33,8 @@
 	}
 }
 
-// FirstReserved returns a header that only the system may set, other than the allowed one.
-func FirstReserved(h http.Header, allowed string) (name string, found bool) {
+// FindReservedHeader returns the name of a header that only the system may set, other than the allowed one.
+func FindReservedHeader(h http.Header, allowed string) (name string, found bool) {
 	for name := range h {
 		if figpier.ReservedHeader(name) && name != allowed {
 			return name, true
--- a/internal/link/web/listener.go
+++ b/internal/link/web/listener.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// onceListener is a listener that may be closed more than once.
+// onceListener is a listener whose Close may be called more than once, always with the result of the first call.
 type onceListener struct {
 	net.Listener
 	once sync.Once
@@ -19,43 +19,44 @@
 	return l.err
 }
 
-// handOver is the listener of one HTTP server, which is given the connections that another listener took.
-type handOver struct {
+// connListener is the listener of one HTTP server. It opens no port: Accept returns the connections that the Server accepted
+// and passed to deliver.
+type connListener struct {
 	address net.Addr
-	http    *http.Server
-	given   chan net.Conn
+	server  *http.Server
+	conns   chan net.Conn
 	closed  chan struct{}
-	once    sync.Once
+	once    sync.Once // guards the closing of closed
 }
 
-func newHandOver(address net.Addr) *handOver {
-	return &handOver{address: address, given: make(chan net.Conn), closed: make(chan struct{})}
+func newConnListener(address net.Addr) *connListener {
+	return &connListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// give hands a connection over, or closes it where the server has ended.
-func (h *handOver) give(c net.Conn) {
+// deliver passes a connection to the HTTP server, or closes it if the listener is closed.
+func (l *connListener) deliver(c net.Conn) {
 	select {
-	case h.given <- c:
-	case <-h.closed:
+	case l.conns <- c:
+	case <-l.closed:
 		_ = c.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (h *handOver) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.given:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *handOver) Close() error {
-	h.once.Do(func() { close(h.closed) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handOver) Addr() net.Addr { return h.address }
+func (l *connListener) Addr() net.Addr { return l.address }
--- a/internal/link/web/pass.go
+++ b/internal/link/web/pass.go
@@ -8,17 +8,18 @@
 	"github.com/figpier/figpier"
 )
 
-// headerRetryAfter carries the milliseconds until another attempt may succeed from node to node.
-const headerRetryAfter = figpier.HeaderPrefix + "Retry-After-Ms"
+// headerRetryAfterMillis carries a refusal's retry delay in milliseconds between nodes.
+const headerRetryAfterMillis = figpier.HeaderPrefix + "Retry-After-Ms"
 
-// PassAnswer streams an answer with the headers that it has, and returns an error when it broke off.
+// PassAnswer streams an answer to the caller with its headers unchanged. It returns an error if the answer breaks off or
+// can't be written.
 func PassAnswer(w http.ResponseWriter, a *figpier.Answer) error {
 	h := w.Header()
 	for name, values := range a.Header() {
 		h[name] = values
 	}
-	if _, typed := a.Header()["Content-Type"]; !typed {
-		// Without an entry net/http guesses a type from the body.
+	if _, hasType := a.Header()["Content-Type"]; !hasType {
+		// Without an entry net/http guesses the type from the body.
 		h["Content-Type"] = nil
 	}
 	if a.Length() >= 0 {
@@ -26,7 +27,7 @@
 	}
 	w.WriteHeader(a.Status())
 	if a.Length() < 0 {
-		// The head of a stream does not wait for its first part.
+		// Send the head at once: the first part of a stream may come much later.
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return err
 		}
@@ -34,7 +35,7 @@
 	return stream(w, a.Body(), a.Length())
 }
 
-// TellRefusal answers another node with a refusal in headers alone.
+// TellRefusal answers another node with a refusal, which is written in headers without a body.
 func TellRefusal(w http.ResponseWriter, r *figpier.Refusal) {
 	h := w.Header()
 	h.Set(figpier.HeaderRefusal, string(r.Reason()))
@@ -42,14 +43,15 @@
 		h.Set(figpier.HeaderNotRun, figpier.NotRunMark)
 	}
 	if r.RetryAfter() > 0 {
-		h.Set(headerRetryAfter, strconv.FormatInt(r.RetryAfter().Milliseconds(), 10))
+		h.Set(headerRetryAfterMillis, strconv.FormatInt(r.RetryAfter().Milliseconds(), 10))
 	}
 	h["Content-Type"] = nil
 	h.Set("Content-Length", "0")
 	w.WriteHeader(r.Status())
 }
 
-// ToldRefusal returns the refusal that another node answered with, false where it is no refusal.
+// ToldRefusal parses a refusal that TellRefusal wrote, and returns false if the answer is not a refusal. A refusal without
+// the not-run mark counts as one whose request may have run.
 func ToldRefusal(h http.Header) (*figpier.Refusal, bool) {
 	reason := h.Get(figpier.HeaderRefusal)
 	if reason == "" {
@@ -61,7 +63,7 @@
 		RanSomewhere: !notRun,
 		ProvenNotRun: notRun,
 	}
-	if ms, err := strconv.Atoi(h.Get(headerRetryAfter)); err == nil {
+	if ms, err := strconv.Atoi(h.Get(headerRetryAfterMillis)); err == nil {
 		c.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	return figpier.NewRefusal(c), true
--- a/internal/link/web/refusal.go
+++ b/internal/link/web/refusal.go
@@ -12,7 +12,8 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// AsRefusal returns the refusal that an error is, or a refusal with an unknown outcome.
+// AsRefusal returns the refusal in an error's chain. Any other error becomes a figpier.RefusalPeerFailed, because the
+// outcome of the request is unknown.
 func AsRefusal(err error) *figpier.Refusal {
 	var r *figpier.Refusal
 	if errors.As(err, &r) {
@@ -21,16 +22,17 @@
 	return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, Detail: err.Error()})
 }
 
-// refusalTime bounds the rest of a request that is refused before it has a deadline.
-const refusalTime = 5 * time.Second
+// earlyRefusalTimeout bounds a request that is refused before its deadline is known.
+const earlyRefusalTimeout = 5 * time.Second
 
-// RefuseEarly answers with a refusal a request that has no deadline yet.
+// RefuseEarly writes a refusal of a request whose deadline is not known yet.
 func RefuseEarly(w http.ResponseWriter, r *figpier.Refusal) {
-	defer Bound(w, refusalTime)()
+	defer Bound(w, earlyRefusalTimeout)()
 	WriteRefusal(w, r)
 }
 
-// WriteRefusal answers with a refusal.
+// WriteRefusal answers a caller with a refusal, both in headers and as a JSON body. Retry-After is in whole seconds,
+// rounded up.
 func WriteRefusal(w http.ResponseWriter, r *figpier.Refusal) {
 	h := w.Header()
 	h.Set(figpier.HeaderRefusal, string(r.Reason()))
--- a/internal/link/web/relay.go
+++ b/internal/link/web/relay.go
@@ -11,36 +11,38 @@
 	"github.com/figpier/figpier"
 )
 
-// copyBufferBytes is the size of the buffer through which an answer streams.
+// copyBufferBytes is the size of the buffer through which an answer is streamed.
 const copyBufferBytes = 32 << 10
 
-// lowestFinalStatus is the lowest status of an answer that is not informational.
-const lowestFinalStatus = 200
+// minFinalStatus is the lowest status of a final answer; lower ones are informational.
+const minFinalStatus = 200
 
-// Attempt is one request sent on behalf of another.
+// Attempt records how far one attempt to send a request got. The transport's goroutines update it.
 type Attempt struct {
 	reached      atomic.Bool
 	senderFailed atomic.Bool
 	bodyEnded    atomic.Bool
 }
 
-// Reached reports whether a byte of the request may have reached the other end.
+// Reached reports whether the request got a connection, so that a byte of it may have reached the other end.
 func (a *Attempt) Reached() bool { return a.reached.Load() }
 
-// SenderFailed reports whether the body could not be read to its end from its sender.
+// SenderFailed reports whether reading the request's body from the caller failed.
 func (a *Attempt) SenderFailed() bool { return a.senderFailed.Load() }
 
-// onceBody hides from the transport that a request could be sent again, also one without a body,
-// and hands the trailers over that the other end may see.
-type onceBody struct {
+// singleUseBody is a request body that the transport can't replay, so that it never resends a request by itself, not even
+// one without a body. At its end it copies the trailers that the other end may see.
+type singleUseBody struct {
 	io.ReadCloser
 	attempt *Attempt
-	from    *http.Request
+	// received is the request whose trailers are copied, nil for none.
+	received *http.Request
+	// trailer belongs to the request that is sent.
 	trailer http.Header
 }
 
 // Read implements io.Reader.
-func (b *onceBody) Read(p []byte) (int, error) {
+func (b *singleUseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
 	case err == io.EOF:
@@ -52,21 +54,22 @@
 	return n, err
 }
 
-func (b *onceBody) copyTrailer() {
-	if b.from == nil {
+func (b *singleUseBody) copyTrailer() {
+	if b.received == nil {
 		return
 	}
 	for name := range b.trailer {
-		b.trailer[name] = withoutSecrets(b.from.Trailer[name], b.from.Header[figpier.HeaderKey])
+		b.trailer[name] = valuesWithoutKeys(b.received.Trailer[name], b.received.Header[figpier.HeaderKey])
 	}
 }
 
-// Outgoing returns a request to send to an address in place of a received one, with the given body.
+// Outgoing returns the request that passes a received one on to an address with the given body, and the record of this
+// attempt. Hop-by-hop headers and those that only the system may set are left out.
 func Outgoing(ctx context.Context, r *http.Request, address string, body io.ReadCloser, length int64) (*http.Request, *Attempt) {
 	a := &Attempt{}
 	a.bodyEnded.Store(length == 0)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.reached.Store(true) }}
-	trailer := passedTrailer(r.Trailer)
+	trailer := allowedTrailers(r.Trailer)
 	out := (&http.Request{
 		Method: r.Method,
 		URL: &url.URL{
@@ -78,41 +81,43 @@
 		},
 		Host:          r.Host,
 		Header:        make(http.Header, len(r.Header)),
-		Body:          &onceBody{ReadCloser: body, attempt: a, from: r, trailer: trailer},
+		Body:          &singleUseBody{ReadCloser: body, attempt: a, received: r, trailer: trailer},
 		ContentLength: length,
 		Trailer:       trailer,
 	}).WithContext(httptrace.WithClientTrace(ctx, trace))
-	CopyHeaders(out.Header, r.Header)
+	CopyEndToEnd(out.Header, r.Header)
 	if out.Header.Get("User-Agent") == "" {
+		// Without an entry net/http adds a User-Agent of its own.
 		out.Header.Set("User-Agent", "")
 	}
 	return out, a
 }
 
-func passedTrailer(declared http.Header) http.Header {
-	var passed http.Header
+// allowedTrailers returns the declared trailers without values, except for those that only the system may set; nil for none.
+func allowedTrailers(declared http.Header) http.Header {
+	var allowed http.Header
 	for name := range declared {
 		if figpier.ReservedHeader(name) {
 			continue
 		}
-		if passed == nil {
-			passed = http.Header{}
+		if allowed == nil {
+			allowed = http.Header{}
 		}
-		passed[name] = nil
+		allowed[name] = nil
 	}
-	return passed
+	return allowed
 }
 
-// Framed reports whether the end of an answer can be told from a broken connection, and whether it is a final answer.
+// Framed reports whether an answer is final and its end can be told from a broken connection.
 func Framed(answer *http.Response) bool {
-	if answer.StatusCode < lowestFinalStatus {
+	if answer.StatusCode < minFinalStatus {
 		return false
 	}
 	return answer.ProtoMajor > 1 || answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 }
 
-// Overlap prepares for an answer that begins before its request has been read to the end.
-// On HTTP/1.1 the connection ends with it, because the rest of the body must not be taken for another request.
+// Overlap prepares for an answer that begins before the request's body has been read to its end. On HTTP/1.1 the connection
+// is then closed after the answer, because the rest of the body must not be read as another request.
 func Overlap(w http.ResponseWriter, r *http.Request, a *Attempt) {
 	if r.ProtoMajor > 1 || a.bodyEnded.Load() {
 		return
@@ -121,15 +126,16 @@
 	w.Header().Set("Connection", "close")
 }
 
-// WriteAnswer streams a whole answer with its trailers, and returns an error when it broke off.
+// WriteAnswer streams an answer with its end-to-end headers and its trailers. It returns an error if the answer breaks off
+// or can't be written.
 func WriteAnswer(w http.ResponseWriter, answer *http.Response) error {
-	CopyHeaders(w.Header(), answer.Header)
-	for name := range passedTrailer(answer.Trailer) {
+	CopyEndToEnd(w.Header(), answer.Header)
+	for name := range allowedTrailers(answer.Trailer) {
 		w.Header().Add("Trailer", name)
 	}
 	w.WriteHeader(answer.StatusCode)
 	if answer.ContentLength < 0 {
-		// The head of a stream does not wait for its first part.
+		// Send the head at once: the first part of a stream may come much later.
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return err
 		}
@@ -137,20 +143,21 @@
 	if err := stream(w, answer.Body, answer.ContentLength); err != nil {
 		return err
 	}
-	for name := range passedTrailer(answer.Trailer) {
+	for name := range allowedTrailers(answer.Trailer) {
 		w.Header()[http.TrailerPrefix+name] = answer.Trailer[name]
 	}
 	return nil
 }
 
-// stream passes each part on as it comes; the last part of an answer of known length goes out with the handler's end.
-func stream(w http.ResponseWriter, body io.Reader, left int64) error {
+// stream copies a body and flushes after each read. The last part of a body of known length is left to the flush at the
+// handler's end; remaining is that length in bytes, -1 if unknown.
+func stream(w http.ResponseWriter, body io.Reader, remaining int64) error {
 	flush := http.NewResponseController(w).Flush
-	buffer := buffers.take()
-	defer buffers.give(buffer)
+	buffer := buffers.get()
+	defer buffers.put(buffer)
 	for {
 		n, err := body.Read(*buffer)
-		left -= int64(n)
+		remaining -= int64(n)
 		if n > 0 {
 			if _, werr := w.Write((*buffer)[:n]); werr != nil {
 				return werr
@@ -162,7 +169,7 @@
 		if err != nil {
 			return err
 		}
-		if n == 0 || left == 0 {
+		if n == 0 || remaining == 0 {
 			continue
 		}
 		if ferr := flush(); ferr != nil {
--- a/internal/link/web/replay.go
+++ b/internal/link/web/replay.go
@@ -8,27 +8,31 @@
 	"github.com/figpier/figpier"
 )
 
-// maxReplayBytes is the greatest length of a body that is kept to be sent again.
+// maxReplayBytes is the greatest length of a body that is buffered for further attempts.
 const maxReplayBytes = 64 << 10
 
-// Replay is a request body that may be sent more than once if it is short.
+// Replay is a request body for several attempts. A short body of known length is buffered and can be sent again; any other
+// is streamed and can't, once an attempt has begun to read it.
 type Replay struct {
-	kept    []byte
-	rest    io.ReadCloser
-	length  int64
+	buffered []byte
+	// streamed is nil for a buffered body.
+	streamed io.ReadCloser
+	length   int64
+	// started is set once a streamed body has been read from.
 	started atomic.Bool
 }
 
-// NewReplay reads a short body of known length, or returns a *figpier.Refusal when it breaks off.
+// NewReplay reads the whole body if it is to be buffered, and returns a *figpier.Refusal if it breaks off. A length of -1
+// means that it is not known.
 func NewReplay(body io.ReadCloser, length int64) (*Replay, error) {
 	if length < 0 || length > maxReplayBytes {
-		return &Replay{rest: body, length: length}, nil
+		return &Replay{streamed: body, length: length}, nil
 	}
-	kept, err := io.ReadAll(body)
+	buffered, err := io.ReadAll(body)
 	if err != nil {
 		return nil, figpier.Refuse(figpier.RefusalMalformed)
 	}
-	return &Replay{kept: kept, length: length}, nil
+	return &Replay{buffered: buffered, length: length}, nil
 }
 
 // Length returns the length of the body in bytes, -1 where it is not known.
@@ -36,15 +40,16 @@
 
 // Body returns the body for one attempt.
 func (b *Replay) Body() io.ReadCloser {
-	if b.rest == nil {
-		return io.NopCloser(bytes.NewReader(b.kept))
+	if b.streamed == nil {
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return &startedBody{ReadCloser: b.rest, started: &b.started}
+	return &startedBody{ReadCloser: b.streamed, started: &b.started}
 }
 
-// Spent reports whether the body can't be sent again.
-func (b *Replay) Spent() bool { return b.rest != nil && b.started.Load() }
+// Spent reports whether no further attempt is possible, because a streamed body has been read from.
+func (b *Replay) Spent() bool { return b.streamed != nil && b.started.Load() }
 
+// startedBody records whether a streamed body has been read from.
 type startedBody struct {
 	io.ReadCloser
 	started *atomic.Bool
@@ -56,5 +61,6 @@
 	return b.ReadCloser.Read(p)
 }
 
-// Close implements io.Closer; the listener closes a body that was not read.
+// Close implements io.Closer. It leaves the body open for another attempt that may still read it; the HTTP server closes it
+// when the handler returns.
 func (b *startedBody) Close() error { return nil }
--- a/internal/link/web/server.go
+++ b/internal/link/web/server.go
@@ -13,25 +13,25 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures of the HTTP plumbing.
+// Error is the class of errors of this package.
 var Error = errs.Class("web")
 
-// Bounds on what a sender may take.
+// Default bounds for senders.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 32 << 10
-	maxFrameBytes     = 64 << 10 // senders keep a buffer of this size for each body of unknown length
+	maxFrameBytes     = 64 << 10 // HTTP/2 senders keep a buffer of this size for each body of unknown length
 )
 
-// acceptPause is how long no connection is taken after one could not be; a request or two end in it.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept; some requests end in it and free their file descriptors.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// settleTime is how long a stop that was cut short waits for connections whose answer has just been written; net/http
-// counts them as active until their handler has returned.
-const settleTime = 100 * time.Millisecond
+// shutdownGrace is how long a shutdown whose context has ended still waits for connections whose answer has just been
+// written: net/http counts them as active until their handler has returned.
+const shutdownGrace = 100 * time.Millisecond
 
-// ServerConfig builds a Server.
+// ServerConfig holds the settings of a Server.
 type ServerConfig struct {
 	// Address is the IP address and port to listen on.
 	Address string
@@ -39,62 +39,66 @@
 	TLS *tls.Config
 	// Handler answers the requests.
 	Handler http.Handler
-	// PingAfter is the silence after which an HTTP/2 connection is pinged, 0 for none.
+	// PingAfter is how long an HTTP/2 connection may be silent before it is pinged, and how long the answer may take; 0
+	// for no pings.
 	PingAfter time.Duration
-	// Linger is how long open connections are still answered on after no new ones are taken, 0 for not at all.
+	// Linger is how long a shutdown still serves requests on open connections after it has stopped accepting new ones, 0
+	// for not at all.
 	Linger time.Duration
-	// Limits returns what bounds the senders of connections from now on, nil for the listener's own bounds.
+	// Limits returns the limits for new connections and is called for each of them; nil for the default bounds.
 	Limits func() Limits
 }
 
-// LimitsConfig builds Limits; a field that is 0 leaves the listener's own bound in force.
+// LimitsConfig holds the fields of Limits; 0 stands for the default bound.
 type LimitsConfig struct {
-	// HeaderBytes is the greatest size of a request's head.
+	// HeaderBytes is the greatest size of a request's head in bytes.
 	HeaderBytes int
-	// HeaderTimeout is how long a sender may take for a head.
+	// HeaderTimeout is how long a sender may take to send a request's head.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a sender may keep a connection without a request.
 	IdleTimeout time.Duration
 }
 
-// Limits bound what the sender of a connection may do.
+// Limits bound the requests on one connection. They are comparable.
 type Limits struct {
 	config LimitsConfig
 }
 
-// NewLimits returns limits.
+// NewLimits returns the limits of a configuration.
 func NewLimits(c LimitsConfig) Limits { return Limits{config: c} }
 
-// Server is an HTTP/1.1 and HTTP/2 listener.
+// Server listens on one port for HTTP/1.1 and HTTP/2. An http.Server can't change its limits, so the Server runs one for each
+// set of limits that was in force and gives it the connections accepted meanwhile.
 type Server struct {
 	config   ServerConfig
 	listener net.Listener
-	work     context.Context
+	ctx      context.Context
 
 	mu sync.Mutex
-	// current serves new connections within limits; those before it serve the connections that they have.
-	current *handOver
+	// current gets the new connections, which are served within limits.
+	current *connListener
 	limits  Limits
-	all     []*handOver
+	// listeners are current and its predecessors, which go on serving the connections that they have.
+	listeners []*connListener
 }
 
-// Listen starts a server that ends with the context.
+// Listen opens the port and starts a server. When the context ends, the server closes at once.
 func Listen(ctx context.Context, c ServerConfig) (*Server, error) {
-	bare, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.Address)
+	tcpListener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.Address)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	s := &Server{config: c, listener: &onceListener{Listener: bare}, work: ctx}
+	s := &Server{config: c, listener: &onceListener{Listener: tcpListener}, ctx: ctx}
 	if c.Limits == nil {
 		s.config.Limits = func() Limits { return Limits{} }
 	}
-	s.renew(s.config.Limits())
+	s.addListener(s.config.Limits())
 	go s.accept()
 	context.AfterFunc(ctx, s.close)
 	return s, nil
 }
 
-// accept gives each new connection to a server with the limits of now.
+// accept passes each new connection to the HTTP server for the current limits.
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
@@ -102,48 +106,49 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Descriptors may have run out; a pause leaves time for some to be given back.
-			s.pause()
+			// The process may have run out of file descriptors; wait for some to be closed.
+			s.waitToAccept()
 			continue
 		}
-		s.server().give(c)
+		s.currentListener().deliver(c)
 	}
 }
 
-// pause waits before the next try to take a connection.
-func (s *Server) pause() {
-	t := time.NewTimer(acceptPause)
+// waitToAccept waits for acceptRetryDelay or until the server's context ends.
+func (s *Server) waitToAccept() {
+	t := time.NewTimer(acceptRetryDelay)
 	defer t.Stop()
 	select {
-	case <-s.work.Done():
+	case <-s.ctx.Done():
 	case <-t.C:
 	}
 }
 
-// server returns the server of new connections, another one where the limits have changed.
-func (s *Server) server() *handOver {
+// currentListener returns the listener for new connections, which is a new one if the limits have changed.
+func (s *Server) currentListener() *connListener {
 	limits := s.config.Limits()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if limits != s.limits {
-		s.renew(limits)
+		s.addListener(limits)
 	}
 	return s.current
 }
 
-// renew has new connections served within other limits; the mutex is held once the listener is open.
-func (s *Server) renew(limits Limits) {
-	h := newHandOver(s.listener.Addr())
+// addListener starts an HTTP server with the given limits and makes it the one for new connections. The mutex must be held,
+// except in Listen.
+func (s *Server) addListener(limits Limits) {
+	l := newConnListener(s.listener.Addr())
 	server := newServer(s.config, limits)
-	h.http = server
-	s.current, s.limits = h, limits
-	s.all = append(s.all, h)
+	l.server = server
+	s.current, s.limits = l, limits
+	s.listeners = append(s.listeners, l)
 	go func() {
 		if s.config.TLS != nil {
-			_ = server.ServeTLS(h, "", "")
+			_ = server.ServeTLS(l, "", "")
 			return
 		}
-		_ = server.Serve(h)
+		_ = server.Serve(l)
 	}()
 }
 
@@ -151,8 +156,8 @@
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.all {
-		_ = h.http.Close()
+	for _, l := range s.listeners {
+		_ = l.server.Close()
 	}
 }
 
@@ -168,7 +173,7 @@
 		ReadHeaderTimeout: cmp.Or(l.config.HeaderTimeout, readHeaderTimeout),
 		IdleTimeout:       cmp.Or(l.config.IdleTimeout, idleTimeout),
 		MaxHeaderBytes:    cmp.Or(l.config.HeaderBytes, maxHeaderBytes),
-		// "OPTIONS *" gets a typed refusal like every other request without a path.
+		// The handler answers "OPTIONS *" with a refusal, like every other request without a path.
 		DisableGeneralOptionsHandler: true,
 		HTTP2: &http.HTTP2Config{
 			SendPingTimeout:  c.PingAfter,
@@ -181,9 +186,8 @@
 // Address returns the IP address and port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Shutdown takes no new connection and waits for the requests in flight.
-// A connection that a caller opened ahead of need is closed only after the linger time, since a request that is sent
-// while its connection closes gets no answer.
+// Shutdown stops accepting connections and waits for the requests in flight. Idle connections are closed only after the
+// linger time, because a request that a caller sends while its connection is being closed gets no answer.
 func (s *Server) Shutdown(ctx context.Context) error {
 	_ = s.listener.Close()
 	if s.config.Linger > 0 {
@@ -194,29 +198,29 @@
 		case <-t.C:
 		}
 	}
-	bounded, cancel := settling(ctx)
+	bounded, cancel := withGrace(ctx)
 	defer cancel()
 	return Error.Wrap(s.shutdownAll(bounded))
 }
 
-// shutdownAll waits for the requests in flight within all limits that there were.
+// shutdownAll shuts all HTTP servers down at the same time and joins their errors.
 func (s *Server) shutdownAll(ctx context.Context) error {
 	s.mu.Lock()
-	all := s.all
+	listeners := s.listeners
 	s.mu.Unlock()
-	failures := make([]error, len(all))
+	failures := make([]error, len(listeners))
 	var group sync.WaitGroup
-	for i, h := range all {
-		group.Go(func() { failures[i] = h.http.Shutdown(ctx) })
+	for i, l := range listeners {
+		group.Go(func() { failures[i] = l.server.Shutdown(ctx) })
 	}
 	group.Wait()
 	return errors.Join(failures...)
 }
 
-// settling returns the context, or a short one in its place when it has ended.
-func settling(ctx context.Context) (context.Context, context.CancelFunc) {
+// withGrace returns a context derived from ctx, or one that lasts for shutdownGrace if ctx has already ended.
+func withGrace(ctx context.Context) (context.Context, context.CancelFunc) {
 	if ctx.Err() == nil {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(context.WithoutCancel(ctx), settleTime)
+	return context.WithTimeout(context.WithoutCancel(ctx), shutdownGrace)
 }
--- a/internal/link/web/server_test.go
+++ b/internal/link/web/server_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// askOn sends a request on an open connection and returns the status of its answer.
-func askOn(t *testing.T, c net.Conn) (int, error) {
+// post sends a POST request on an open connection and returns the status of its answer.
+func post(t *testing.T, c net.Conn) (int, error) {
 	t.Helper()
 	_, err := fmt.Fprint(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nhold")
 	if err != nil {
@@ -29,7 +29,7 @@
 	return answer.StatusCode, nil
 }
 
-func TestOpenConnectionIsAnsweredWhileTheServerLingers(t *testing.T) {
+func TestOpenConnectionIsAnsweredDuringLinger(t *testing.T) {
 	s, err := Listen(t.Context(), ServerConfig{
 		Address: "127.0.0.1:0",
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }),
@@ -39,7 +39,7 @@
 	c, err := net.Dial("tcp", s.Address())
 	assert.NilError(t, err)
 	defer c.Close()
-	status, err := askOn(t, c)
+	status, err := post(t, c)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNoContent)
 
@@ -53,7 +53,7 @@
 		}
 		_ = other.Close()
 	}
-	status, err = askOn(t, c)
+	status, err = post(t, c)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNoContent)
 	stop()
@@ -68,15 +68,15 @@
 	}
 }
 
-func TestShutdownCutShortWaitsForAnAnswerThatIsWritten(t *testing.T) {
-	written, rest := make(chan struct{}), make(chan struct{})
+func TestCancelledShutdownWaitsForHandlerOfWrittenAnswer(t *testing.T) {
+	written, finish := make(chan struct{}), make(chan struct{})
 	s, err := Listen(t.Context(), ServerConfig{
 		Address: "127.0.0.1:0",
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusNoContent)
 			_ = http.NewResponseController(w).Flush()
 			close(written)
-			<-rest
+			<-finish
 		}),
 		Linger: time.Minute,
 	})
@@ -84,18 +84,18 @@
 	c, err := net.Dial("tcp", s.Address())
 	assert.NilError(t, err)
 	defer c.Close()
-	status, err := askOn(t, c)
+	status, err := post(t, c)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNoContent)
 
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	<-written
-	time.AfterFunc(settleTime/10, func() { close(rest) })
+	time.AfterFunc(shutdownGrace/10, func() { close(finish) })
 	assert.NilError(t, s.Shutdown(ctx))
 }
 
-func TestNewConnectionsAreHeldToTheLimitsOfNow(t *testing.T) {
+func TestChangedLimitsApplyToNewConnectionsOnly(t *testing.T) {
 	var limits atomic.Pointer[Limits]
 	limits.Store(&Limits{})
 	s, err := Listen(t.Context(), ServerConfig{
@@ -107,7 +107,7 @@
 	before, err := net.Dial("tcp", s.Address())
 	assert.NilError(t, err)
 	defer before.Close()
-	_, err = askOn(t, before)
+	_, err = post(t, before)
 	assert.NilError(t, err)
 
 	short := NewLimits(LimitsConfig{IdleTimeout: 50 * time.Millisecond})
@@ -115,12 +115,12 @@
 	after, err := net.Dial("tcp", s.Address())
 	assert.NilError(t, err)
 	defer after.Close()
-	_, err = askOn(t, after)
+	_, err = post(t, after)
 	assert.NilError(t, err)
 	assert.NilError(t, after.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = after.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	status, err := askOn(t, before)
+	status, err := post(t, before)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusNoContent)
 	assert.NilError(t, s.Shutdown(t.Context()))
