--- a/internal/link/jsonrpc/doc.go
+++ b/internal/link/jsonrpc/doc.go
@@ -1,2 +1,3 @@
-// Package jsonrpc exchanges messages with other processes of the system over jsonrpc2.
+// Package jsonrpc implements the messenger, which exchanges requests and answers with other processes of the system over
+// JSON-RPC 2.0.
 package jsonrpc
--- a/internal/link/jsonrpc/messenger.go
+++ b/internal/link/jsonrpc/messenger.go
@@ -16,13 +16,13 @@
 	"github.com/figpier/figpier"
 )
 
-// Error is the class of failures to exchange messages.
+// Error is the class of errors of this package.
 var Error = errs.Class("messenger")
 
-// codeHandlerFailed is the jsonrpc2 code of an answer that is the handler's error.
+// codeHandlerFailed is the JSON-RPC error code for an error that a handler returned.
 const codeHandlerFailed = 1
 
-// RemoteError is the error that the handler in another process returned.
+// RemoteError is an error that the other process answered with: its handler's error, or that it has no such method.
 type RemoteError struct {
 	text string
 }
@@ -30,32 +30,36 @@
 // Error implements error.
 func (e *RemoteError) Error() string { return e.text }
 
-// Config builds a Messenger.
+// Config holds the settings of a Messenger.
 type Config struct {
-	// Address is the IP address and port to listen on, empty to only send.
+	// Address is the IP address and port to listen on, empty for a messenger that only sends.
 	Address string
-	// ServerTLS secures the listener, nil for plain TCP.
+	// ServerTLS is the listener's TLS configuration, nil for plain TCP.
 	ServerTLS *tls.Config
-	// ClientTLS secures connections to other processes, nil for plain TCP.
+	// ClientTLS is the TLS configuration for connections to other processes, nil for plain TCP.
 	ClientTLS *tls.Config
-	// AskTimeout bounds a message whose context has no deadline.
+	// AskTimeout bounds a request whose context has no deadline.
 	AskTimeout time.Duration
 }
 
-// Messenger implements figpier.Messenger with one connection per address.
+// Messenger implements figpier.Messenger with one connection to each address. Both ends of a connection may send requests.
 type Messenger struct {
-	config   Config
+	config Config
+	// handlers is guarded by mu too.
 	handlers map[figpier.Method]figpier.MessageHandler
 	listener net.Listener
-	work     context.Context
-	traffic  traffic
+	// ctx ends with the service, and the outgoing connections with it.
+	ctx   context.Context
+	bytes byteCounts
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// outgoing holds the connections that this process opened, by address.
 	outgoing map[string]*jsonrpc2.Conn
+	// incoming holds the connections that other processes opened.
 	incoming map[*jsonrpc2.Conn]struct{}
 }
 
-// New returns a messenger that has not started.
+// New returns a messenger; Start opens its listener.
 func New(c Config) *Messenger {
 	return &Messenger{
 		config:   c,
@@ -77,8 +81,8 @@
 
 // Start implements figpier.Service.
 func (m *Messenger) Start(ctx context.Context, d figpier.Directory) error {
-	m.work = ctx
-	m.traffic.show(d)
+	m.ctx = ctx
+	m.bytes.register(d)
 	if m.config.Address == "" {
 		return nil
 	}
@@ -130,9 +134,10 @@
 	}
 }
 
+// serve answers the requests on an accepted connection until it is closed, each in a goroutine of its own.
 func (m *Messenger) serve(ctx context.Context, c net.Conn) {
-	stream := jsonrpc2.NewBufferedStream(countedConn{Conn: c, traffic: &m.traffic}, jsonrpc2.VarintObjectCodec{})
-	h := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.answer))
+	stream := jsonrpc2.NewBufferedStream(countedConn{Conn: c, counts: &m.bytes}, jsonrpc2.VarintObjectCodec{})
+	h := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.dispatch))
 	conn := jsonrpc2.NewConn(ctx, stream, h, jsonrpc2.SetLogger(log.Default()))
 	m.mu.Lock()
 	m.incoming[conn] = struct{}{}
@@ -145,7 +150,8 @@
 	}()
 }
 
-func (m *Messenger) answer(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
+// dispatch passes a request to the handler of its method.
+func (m *Messenger) dispatch(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	m.mu.Lock()
 	h, ok := m.handlers[figpier.Method(r.Method)]
 	m.mu.Unlock()
@@ -154,7 +160,7 @@
 	}
 	answer, err := h(ctx, func(message any) error {
 		if r.Params == nil {
-			return Error.New("%s: message without content", r.Method)
+			return Error.New("%s: message has no content", r.Method)
 		}
 		return Error.Wrap(json.Unmarshal(*r.Params, message))
 	})
@@ -164,7 +170,9 @@
 	return answer, nil
 }
 
-// Ask implements figpier.Messenger; a connection on which a message times out is replaced.
+// Ask implements figpier.Messenger. After a timeout or a failure of the connection it closes the connection, so that the
+// next request opens a new one; it keeps it if the caller cancelled the request or the other process answered with an
+// error.
 func (m *Messenger) Ask(ctx context.Context, address string, method figpier.Method, message, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
 		c, cancel := context.WithTimeout(ctx, m.config.AskTimeout)
@@ -184,11 +192,12 @@
 		return &RemoteError{text: remote.Message}
 	}
 	if !errors.Is(err, context.Canceled) {
-		m.drop(address, conn)
+		m.closeOutgoing(address, conn)
 	}
 	return Error.New("%s to %s: %w", method, address, err)
 }
 
+// connection returns the open connection to an address, or opens one.
 func (m *Messenger) connection(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	m.mu.Lock()
 	conn, ok := m.outgoing[address]
@@ -200,7 +209,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return m.keep(address, c), nil
+	return m.addOutgoing(address, c), nil
 }
 
 func dial(ctx context.Context, address string, t *tls.Config) (net.Conn, error) {
@@ -210,25 +219,28 @@
 	return (&tls.Dialer{Config: t}).DialContext(ctx, "tcp", address)
 }
 
-func (m *Messenger) keep(address string, c net.Conn) *jsonrpc2.Conn {
+// addOutgoing starts using an opened connection for its address. If another goroutine was first to open one, it closes c
+// and returns that one.
+func (m *Messenger) addOutgoing(address string, c net.Conn) *jsonrpc2.Conn {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if other, ok := m.outgoing[address]; ok {
 		_ = c.Close()
 		return other
 	}
-	stream := jsonrpc2.NewBufferedStream(countedConn{Conn: c, traffic: &m.traffic}, jsonrpc2.VarintObjectCodec{})
-	h := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.answer))
-	conn := jsonrpc2.NewConn(m.work, stream, h, jsonrpc2.SetLogger(log.Default()))
+	stream := jsonrpc2.NewBufferedStream(countedConn{Conn: c, counts: &m.bytes}, jsonrpc2.VarintObjectCodec{})
+	h := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(m.dispatch))
+	conn := jsonrpc2.NewConn(m.ctx, stream, h, jsonrpc2.SetLogger(log.Default()))
 	m.outgoing[address] = conn
 	go func() {
 		<-conn.DisconnectNotify()
-		m.drop(address, conn)
+		m.closeOutgoing(address, conn)
 	}()
 	return conn
 }
 
-func (m *Messenger) drop(address string, conn *jsonrpc2.Conn) {
+// closeOutgoing closes a connection, and removes it unless a newer one to the address has taken its place.
+func (m *Messenger) closeOutgoing(address string, conn *jsonrpc2.Conn) {
 	m.mu.Lock()
 	if m.outgoing[address] == conn {
 		delete(m.outgoing, address)
--- a/internal/link/operator/doc.go
+++ b/internal/link/operator/doc.go
@@ -1,2 +1,2 @@
-// Package operator speaks to the operator API of the control instances.
+// Package operator is the client of the operator API.
 package operator
--- a/internal/link/operator/failure.go
+++ b/internal/link/operator/failure.go
@@ -9,7 +9,7 @@
 	api "github.com/figpier/figpier/gen/operator"
 )
 
-// Names of the failures of the API.
+// Names of the failures that the API answers with; the API's design describes each.
 const (
 	FailureConflict       = "conflict"
 	FailureInvalid        = "invalid"
@@ -20,15 +20,15 @@
 	FailureUnreached      = "unreached"
 )
 
-// FailureError is a failure that a control instance answered with.
+// FailureError is an error that a control instance answered with.
 type FailureError struct {
 	failure *api.Failure
 }
 
-// Name returns the type of the failure.
+// Name returns the name of the failure, such as FailureConflict.
 func (e *FailureError) Name() string { return e.failure.Name }
 
-// Operation returns the name of the edit, empty when the request was none.
+// Operation returns the ID of the failed edit, empty for a read.
 func (e *FailureError) Operation() string {
 	if e.failure.Operation == nil {
 		return ""
@@ -41,7 +41,7 @@
 	return e.failure.Name + ": " + e.failure.Message
 }
 
-// UnreachedError reports a control instance that did not answer a request that changed nothing.
+// UnreachedError reports a control instance that did not answer, where the request is known to have changed nothing.
 type UnreachedError struct {
 	address string
 	cause   error
@@ -55,13 +55,14 @@
 // Unwrap returns the cause.
 func (e *UnreachedError) Unwrap() error { return e.cause }
 
-// LostAnswerError reports an edit that was sent and may or may not be accepted.
+// LostAnswerError reports an edit that was sent but not answered, so that its outcome is unknown. Resending it under the
+// same operation ID is safe.
 type LostAnswerError struct {
 	operation string
 	cause     error
 }
 
-// Operation returns the name of the edit.
+// Operation returns the ID of the edit.
 func (e *LostAnswerError) Operation() string { return e.operation }
 
 // Error implements error.
@@ -72,7 +73,8 @@
 // Unwrap returns the cause.
 func (e *LostAnswerError) Unwrap() error { return e.cause }
 
-// neverSent reports whether a request failed before any byte of it was sent.
+// neverSent reports whether an error occurred before any byte of the request was sent: while connecting, or in the check of
+// the server's certificate.
 func neverSent(err error) bool {
 	var dial *net.OpError
 	var certificate *tls.CertificateVerificationError
