--- a/internal/wire/codec/binding.go
+++ b/internal/wire/codec/binding.go
@@ -7,7 +7,8 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// FromBinding returns the wire form of a binding, which carries how long ago it began.
+// FromBinding returns the wire form of a binding. It holds the time since the binding began rather than the moment, because
+// clocks of machines differ.
 func FromBinding(b figpier.Binding, now time.Time) message.Binding {
 	return message.Binding{
 		Kind:        string(b.Kind()),
--- a/internal/wire/codec/configuration.go
+++ b/internal/wire/codec/configuration.go
@@ -13,10 +13,10 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures to convert a message.
+// Error is the class of errors of this package.
 var Error = errs.Class("codec")
 
-// FromProfile returns the wire form of a profile.
+// FromProfile returns the wire form of a profile, with its routes in their order.
 func FromProfile(p *figpier.Profile) message.Profile {
 	m := message.Profile{
 		Name:         string(p.Name()),
@@ -43,7 +43,7 @@
 	return m
 }
 
-// ToProfile returns the profile of a wire form.
+// ToProfile converts a profile from its wire form, without checking its values.
 func ToProfile(m message.Profile) *figpier.Profile {
 	c := figpier.ProfileConfig{
 		Name:         figpier.ProfileName(m.Name),
@@ -99,7 +99,7 @@
 	})
 }
 
-// FromKey returns the wire form of a key.
+// FromKey returns the wire form of a customer key, with its digest in hexadecimal.
 func FromKey(k *figpier.Key) message.Key {
 	d := k.Digest()
 	return message.Key{
@@ -110,7 +110,7 @@
 	}
 }
 
-// ToKey returns the key of a wire form.
+// ToKey converts a customer key from its wire form. It fails if the digest is not valid.
 func ToKey(m message.Key) (*figpier.Key, error) {
 	d, err := ToDigest(m.Digest)
 	if err != nil {
@@ -124,7 +124,7 @@
 	}), nil
 }
 
-// ToDigest returns the key digest of its hexadecimal form.
+// ToDigest parses a key digest in hexadecimal.
 func ToDigest(text string) (figpier.KeyDigest, error) {
 	var d figpier.KeyDigest
 	data, err := hex.DecodeString(text)
@@ -138,19 +138,21 @@
 	return d, nil
 }
 
-// FromConfiguration returns the wire form of a configuration for nodes, in a fixed order.
+// FromConfiguration returns the wire form of a configuration that nodes get, which lacks the document of the routing table.
+// Objects are in a fixed order, so that equal configurations have equal wire forms.
 func FromConfiguration(c *figpier.Configuration) message.Configuration {
-	m := fromObjects(c)
+	m := fromConfigurationWithoutTable(c)
 	if t := c.Table(); t != nil {
-		w := fromTable(t)
+		w := fromTableWithoutDocument(t)
 		m.Table = &w
 	}
 	return m
 }
 
-// FromCatalog returns the wire form of a configuration with the operator's document, in a fixed order.
+// FromCatalog returns the wire form of a configuration that control instances store, which includes the document of the
+// routing table. The order is that of FromConfiguration.
 func FromCatalog(c *figpier.Configuration) message.Configuration {
-	m := fromObjects(c)
+	m := fromConfigurationWithoutTable(c)
 	if t := c.Table(); t != nil {
 		w := FromTable(t)
 		m.Table = &w
@@ -158,8 +160,8 @@
 	return m
 }
 
-// fromObjects returns the wire form of all but the routing table.
-func fromObjects(c *figpier.Configuration) message.Configuration {
+// fromConfigurationWithoutTable returns the wire form of everything in a configuration but the routing table.
+func fromConfigurationWithoutTable(c *figpier.Configuration) message.Configuration {
 	m := message.Configuration{
 		Revision:    int(c.Revision()),
 		Profiles:    []message.Profile{},
@@ -185,7 +187,7 @@
 	return m
 }
 
-// ToConfiguration returns the configuration of a wire form.
+// ToConfiguration converts a configuration from either of its wire forms.
 func ToConfiguration(m message.Configuration) (*figpier.Configuration, error) {
 	c := figpier.ConfigurationConfig{
 		Revision:    figpier.Revision(m.Revision),
@@ -220,7 +222,8 @@
 	return figpier.NewConfiguration(c), nil
 }
 
-// ApplyDelta returns the configuration that a delta leads to.
+// ApplyDelta returns a new configuration with the changes of a delta applied to c, which must be at the delta's base
+// revision or later.
 func ApplyDelta(c *figpier.Configuration, d message.ConfigurationDelta) (*figpier.Configuration, error) {
 	changed, err := ToConfiguration(d.Changed)
 	if err != nil {
--- a/internal/wire/codec/edit.go
+++ b/internal/wire/codec/edit.go
@@ -5,15 +5,15 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// FromEdit returns the wire form of an edit.
+// FromEdit returns the wire form of an edit, without the fields that are not set.
 func FromEdit(e *figpier.Edit) message.Edit {
 	m := message.Edit{
 		Operation:   string(e.Operation()),
 		Kind:        string(e.Kind()),
 		Base:        int(e.Base()),
-		ProfileName: text(string(e.ProfileName())),
-		Service:     text(string(e.Service())),
-		KeyId:       text(e.KeyID()),
+		ProfileName: toOptional(string(e.ProfileName())),
+		Service:     toOptional(string(e.Service())),
+		KeyId:       toOptional(e.KeyID()),
 	}
 	if e.Profile() != nil {
 		p := FromProfile(e.Profile())
@@ -30,15 +30,15 @@
 	return m
 }
 
-// ToEdit returns the edit of a wire form.
+// ToEdit converts an edit from its wire form. It fails if a key or a routing table in it is not valid.
 func ToEdit(m message.Edit) (*figpier.Edit, error) {
 	c := figpier.EditConfig{
 		Operation:   figpier.OperationID(m.Operation),
 		Kind:        figpier.EditKind(m.Kind),
 		Base:        figpier.Revision(m.Base),
-		ProfileName: figpier.ProfileName(plain(m.ProfileName)),
-		Service:     figpier.UpstreamService(plain(m.Service)),
-		KeyID:       plain(m.KeyId),
+		ProfileName: figpier.ProfileName(fromOptional(m.ProfileName)),
+		Service:     figpier.UpstreamService(fromOptional(m.Service)),
+		KeyID:       fromOptional(m.KeyId),
 	}
 	if m.Profile != nil {
 		c.Profile = ToProfile(*m.Profile)
@@ -60,14 +60,16 @@
 	return figpier.NewEdit(c), nil
 }
 
-func text(s string) *string {
+// toOptional returns nil for an empty string, so that the field is left out on the wire.
+func toOptional(s string) *string {
 	if s == "" {
 		return nil
 	}
 	return &s
 }
 
-func plain(s *string) string {
+// fromOptional returns the empty string for a field that was left out.
+func fromOptional(s *string) string {
 	if s == nil {
 		return ""
 	}
--- a/internal/wire/codec/envelope.go
+++ b/internal/wire/codec/envelope.go
@@ -8,7 +8,8 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// EncodeEnvelope returns the header text that carries a call to another node.
+// EncodeEnvelope returns the value of the header that carries a call's properties to another node: a packed message in
+// base64. The deadline travels as the time that remains of it at now, because the nodes' clocks differ.
 func EncodeEnvelope(c *figpier.Call, now time.Time) (string, error) {
 	d := c.KeyDigest()
 	data, err := pack(&message.Envelope{
@@ -32,7 +33,8 @@
 	return base64.RawURLEncoding.EncodeToString(data), nil
 }
 
-// DecodeEnvelope returns the facts of a call that another node sent, with the deadline counted from now.
+// DecodeEnvelope parses a header that EncodeEnvelope wrote, with the deadline counted from now. It fails for values out of
+// range, because the header comes from another process.
 func DecodeEnvelope(header string, now time.Time) (figpier.CallConfig, error) {
 	data, err := base64.RawURLEncoding.DecodeString(header)
 	if err != nil {
@@ -62,10 +64,12 @@
 	}, nil
 }
 
+// checkEnvelope returns an error for values that no node sends. A key digest that is too short would make the conversion to
+// a call panic.
 func checkEnvelope(m message.Envelope) error {
 	switch {
 	case len(m.KeyDigest) != len(figpier.KeyDigest{}):
-		return Error.New("envelope: a key digest of %d bytes", len(m.KeyDigest))
+		return Error.New("envelope: key digest has %d bytes", len(m.KeyDigest))
 	case m.Priority < 0 || m.Priority > int(figpier.LowestPriority):
 		return Error.New("envelope: priority %d is out of range", m.Priority)
 	case m.Rank < 0 || m.Rank > int(figpier.MaxRank):
--- a/internal/wire/codec/member.go
+++ b/internal/wire/codec/member.go
@@ -5,7 +5,7 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// FromMember returns the wire form of a member.
+// FromMember returns the wire form of a member of the registry.
 func FromMember(m *figpier.Member) message.Member {
 	return message.Member{
 		Instance:       string(m.Instance()),
@@ -20,7 +20,7 @@
 	}
 }
 
-// ToMember returns the member of a wire form.
+// ToMember converts a member of the registry from its wire form.
 func ToMember(m message.Member) *figpier.Member {
 	return figpier.NewMember(figpier.MemberConfig{
 		Instance:       figpier.InstanceID(m.Instance),
@@ -35,7 +35,7 @@
 	})
 }
 
-// FromMembers returns the wire forms of a delta.
+// FromMembers returns the wire forms of a delta's added or changed members and the names of the removed ones.
 func FromMembers(d figpier.MemberDelta) (members []message.Member, gone []string) {
 	for _, m := range d.Members() {
 		members = append(members, FromMember(m))
@@ -46,7 +46,7 @@
 	return members, gone
 }
 
-// ToMemberDelta returns the delta of wire forms.
+// ToMemberDelta converts a delta from the wire forms that FromMembers returns. Its Changed channel is nil.
 func ToMemberDelta(version int, members []message.Member, gone []string) figpier.MemberDelta {
 	c := figpier.MemberDeltaConfig{Version: uint64(version)}
 	for _, m := range members {
--- a/internal/wire/codec/pack.go
+++ b/internal/wire/codec/pack.go
@@ -6,7 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// pack returns a message without the names of its fields, for messages that go with every request.
+// pack encodes a message in MessagePack, with structs as arrays without field names. It is for messages that are sent with
+// every request and so must be short. Both ends must agree on the order of the fields.
 func pack(m any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.GetEncoder()
@@ -20,7 +21,7 @@
 	return b.Bytes(), nil
 }
 
-// unpack reads a packed message with nothing behind it.
+// unpack decodes a message that pack encoded, and fails if bytes follow it.
 func unpack(data []byte, m any) error {
 	r := bytes.NewReader(data)
 	d := msgpack.GetDecoder()
@@ -31,7 +32,7 @@
 		return Error.Wrap(err)
 	}
 	if r.Len() > 0 {
-		return Error.New("%d bytes behind a packed message", r.Len())
+		return Error.New("%d unexpected bytes after a packed message", r.Len())
 	}
 	return nil
 }
--- a/internal/wire/codec/replica.go
+++ b/internal/wire/codec/replica.go
@@ -9,15 +9,15 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// unknownAgeMicros stands for a quorum contact that never was.
+// unknownAgeMicros is the quorum age on the wire of a member that never had contact with a quorum.
 const unknownAgeMicros = -1
 
-// FromReplicaMember returns the wire form of a member of the log.
+// FromReplicaMember returns the wire form of a member of the replicated log.
 func FromReplicaMember(m replica.Member) message.ReplicaMember {
 	return message.ReplicaMember{Id: string(m.ID()), Address: m.Address(), Voter: m.Voter()}
 }
 
-// ToReplicaMember returns the member of the log of a wire form.
+// ToReplicaMember converts a member of the replicated log from its wire form.
 func ToReplicaMember(m message.ReplicaMember) replica.Member {
 	return replica.NewMember(replica.MemberConfig{
 		ID:      replica.MemberID(m.Id),
@@ -26,7 +26,7 @@
 	})
 }
 
-// FromReplicaMembers returns the wire form of a membership, empty for nil.
+// FromReplicaMembers returns the wire form of the log's membership, an empty list for nil.
 func FromReplicaMembers(m *replica.Members) []message.ReplicaMember {
 	list := []message.ReplicaMember{}
 	if m == nil {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// ToReplicaMembers returns the membership of a wire form, nil for an empty one.
+// ToReplicaMembers converts the log's membership from its wire form. It returns nil for an empty list.
 func ToReplicaMembers(list []message.ReplicaMember) *replica.Members {
 	if len(list) == 0 {
 		return nil
@@ -50,7 +50,7 @@
 	return replica.NewMembers(members...)
 }
 
-// FromReplicaEntry returns the wire form of an entry of the log.
+// FromReplicaEntry returns the wire form of a log entry, with its command in base64.
 func FromReplicaEntry(e *replica.Entry) message.ReplicaEntry {
 	return message.ReplicaEntry{
 		Index:    int(e.Index()),
@@ -62,14 +62,14 @@
 	}
 }
 
-// ToReplicaEntry returns the entry of the log of a wire form.
+// ToReplicaEntry converts a log entry from its wire form. Index and term must be at least 1.
 func ToReplicaEntry(m message.ReplicaEntry) (*replica.Entry, error) {
 	command, err := base64.StdEncoding.DecodeString(m.Command)
 	if err != nil {
 		return nil, Error.New("command of entry %d: %w", m.Index, err)
 	}
 	if m.Index <= 0 || m.Term <= 0 {
-		return nil, Error.New("entry %d of term %d: both count from 1", m.Index, m.Term)
+		return nil, Error.New("entry %d of term %d: index and term must be at least 1", m.Index, m.Term)
 	}
 	return replica.NewEntry(replica.EntryConfig{
 		Index:    uint64(m.Index),
@@ -81,7 +81,7 @@
 	}), nil
 }
 
-// FromReplicaEntries returns the wire form of entries of the log.
+// FromReplicaEntries returns the wire forms of log entries, an empty list for none.
 func FromReplicaEntries(entries []*replica.Entry) []message.ReplicaEntry {
 	list := []message.ReplicaEntry{}
 	for _, e := range entries {
@@ -90,7 +90,7 @@
 	return list
 }
 
-// ToReplicaEntries returns the entries of a wire form, which have to follow one another.
+// ToReplicaEntries converts log entries from their wire forms. Their indexes must be consecutive.
 func ToReplicaEntries(list []message.ReplicaEntry) ([]*replica.Entry, error) {
 	var entries []*replica.Entry
 	for i, m := range list {
@@ -99,19 +99,19 @@
 			return nil, err
 		}
 		if i > 0 && e.Index() != entries[i-1].Index()+1 {
-			return nil, Error.New("entry %d follows entry %d", e.Index(), entries[i-1].Index())
+			return nil, Error.New("entry %d does not directly follow entry %d", e.Index(), entries[i-1].Index())
 		}
 		entries = append(entries, e)
 	}
 	return entries, nil
 }
 
-// FromReplicaState returns the wire form of a hard state.
+// FromReplicaState returns the wire form of a hard state, the part of a log member's state that must survive a restart.
 func FromReplicaState(s replica.HardState) message.ReplicaState {
 	return message.ReplicaState{Cluster: s.Cluster(), Term: int(s.Term()), Vote: string(s.Vote())}
 }
 
-// ToReplicaState returns the hard state of a wire form.
+// ToReplicaState converts a hard state from its wire form.
 func ToReplicaState(m message.ReplicaState) replica.HardState {
 	return replica.NewHardState(replica.HardStateConfig{
 		Cluster: m.Cluster,
@@ -120,7 +120,7 @@
 	})
 }
 
-// FromReplicaSnapshot returns the wire form of a snapshot.
+// FromReplicaSnapshot returns the wire form of a snapshot of the log's state machine, with its data in base64.
 func FromReplicaSnapshot(s *replica.Snapshot) message.ReplicaSnapshot {
 	return message.ReplicaSnapshot{
 		Index:   int(s.Index()),
@@ -130,15 +130,15 @@
 	}
 }
 
-// ToReplicaSnapshot returns the snapshot of a wire form.
+// ToReplicaSnapshot converts a snapshot from its wire form. It fails if the snapshot lists no members.
 func ToReplicaSnapshot(m message.ReplicaSnapshot) (*replica.Snapshot, error) {
 	data, err := base64.StdEncoding.DecodeString(m.Data)
 	if err != nil {
-		return nil, Error.New("snapshot to entry %d: %w", m.Index, err)
+		return nil, Error.New("snapshot up to entry %d: %w", m.Index, err)
 	}
 	members := ToReplicaMembers(m.Members)
 	if members == nil {
-		return nil, Error.New("snapshot to entry %d has no members", m.Index)
+		return nil, Error.New("snapshot up to entry %d has no members", m.Index)
 	}
 	return replica.NewSnapshot(replica.SnapshotConfig{
 		Index:   uint64(m.Index),
@@ -148,7 +148,8 @@
 	}), nil
 }
 
-// FromReplicaMessage returns the wire form of a message between members of the log.
+// FromReplicaMessage returns the wire form of a message between members of the log. The quorum age is rounded up, so that
+// the receiver never takes the sender's state for newer than it is.
 func FromReplicaMessage(m *replica.Message) message.ReplicaMessage {
 	c := m.Config()
 	age := unknownAgeMicros
@@ -178,14 +179,15 @@
 	}
 }
 
-// ToReplicaMessage returns the message between members of the log of a wire form.
+// ToReplicaMessage converts a message between members of the log from its wire form. It fails if its entries don't directly
+// follow the message's index, or if a snapshot message lists no members.
 func ToReplicaMessage(m message.ReplicaMessage) (*replica.Message, error) {
 	entries, err := ToReplicaEntries(m.Entries)
 	if err != nil {
 		return nil, err
 	}
 	if len(entries) > 0 && entries[0].Index() != uint64(m.Index)+1 {
-		return nil, Error.New("entry %d follows entry %d", entries[0].Index(), m.Index)
+		return nil, Error.New("entry %d does not directly follow entry %d", entries[0].Index(), m.Index)
 	}
 	part, err := base64.StdEncoding.DecodeString(m.Part)
 	if err != nil {
@@ -193,7 +195,7 @@
 	}
 	members := ToReplicaMembers(m.Members)
 	if m.Kind == string(replica.KindSnapshot) && members == nil {
-		return nil, Error.New("snapshot to entry %d has no members", m.Index)
+		return nil, Error.New("snapshot up to entry %d has no members", m.Index)
 	}
 	age := time.Duration(math.MaxInt64)
 	if m.QuorumAgeMicros != unknownAgeMicros {
--- a/internal/wire/codec/shard.go
+++ b/internal/wire/codec/shard.go
@@ -13,21 +13,22 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// memberSeparator ends the message address at the start of a member's name.
+// memberSeparator separates the parts of a shard member's name.
 const memberSeparator = "/"
 
-// MemberName returns the name of a process that may hold shards.
+// MemberName returns the name under which a process holds shards: its message address, its instance, and a name of the
+// process that no later one of the instance has.
 func MemberName(address, instance, process string) shard.MemberID {
 	return shard.MemberID(strings.Join([]string{address, instance, process}, memberSeparator))
 }
 
-// MemberAddress returns the message address in a member's name.
+// MemberAddress returns the message address in a name that MemberName returned.
 func MemberAddress(m shard.MemberID) string {
 	address, _, _ := strings.Cut(string(m), memberSeparator)
 	return address
 }
 
-// FromMemberIDs returns the wire form of members' names.
+// FromMemberIDs returns the wire form of shard members' names, nil for none.
 func FromMemberIDs(members []shard.MemberID) []string {
 	var names []string
 	for _, m := range members {
@@ -36,7 +37,7 @@
 	return names
 }
 
-// ToMemberIDs returns the members of wire names.
+// ToMemberIDs converts shard members' names from their wire form, nil for none.
 func ToMemberIDs(names []string) []shard.MemberID {
 	var members []shard.MemberID
 	for _, n := range names {
@@ -45,7 +46,7 @@
 	return members
 }
 
-// FromShardAssignment returns the wire form of an assignment.
+// FromShardAssignment returns the wire form of a shard's assignment.
 func FromShardAssignment(a *shard.Assignment) message.ShardAssignment {
 	return message.ShardAssignment{
 		Shard:   int(a.Shard()),
@@ -58,7 +59,7 @@
 	}
 }
 
-// ToShardAssignment returns the assignment of a wire form.
+// ToShardAssignment converts a shard's assignment from its wire form.
 func ToShardAssignment(m message.ShardAssignment) *shard.Assignment {
 	return shard.NewAssignment(shard.AssignmentConfig{
 		Shard:   shard.ID(m.Shard),
@@ -71,7 +72,7 @@
 	})
 }
 
-// FromShardAssignments returns the wire forms of assignments.
+// FromShardAssignments returns the wire forms of assignments, an empty list for none.
 func FromShardAssignments(all []*shard.Assignment) []message.ShardAssignment {
 	wire := []message.ShardAssignment{}
 	for _, a := range all {
@@ -80,7 +81,8 @@
 	return wire
 }
 
-// ShardMark returns a digest of which epochs of which shards the assignments are, in their order.
+// ShardMark returns a digest of the shards and epochs of assignments. A node sends the digest of those that it knows, and
+// the assigner leaves the list out of its answer if the digest is still the same; the order counts.
 func ShardMark(all []*shard.Assignment) string {
 	h := fnv.New64a()
 	for _, a := range all {
@@ -89,7 +91,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ToClaimKey returns the key of a wire form, and whether it is one.
+// ToClaimKey parses a claim's key in hexadecimal, and returns false if it is not valid.
 func ToClaimKey(text string) (claim.Key, bool) {
 	var k claim.Key
 	data, err := hex.DecodeString(text)
@@ -100,10 +102,10 @@
 	return k, true
 }
 
-// FromClaimKey returns the wire form of a key.
+// FromClaimKey returns a claim's key in hexadecimal.
 func FromClaimKey(k claim.Key) string { return hex.EncodeToString(k[:]) }
 
-// FromClaimEntry returns the wire form of a claim's record at a time.
+// FromClaimEntry returns the wire form of a claim, which holds its age at now instead of a time, because clocks differ.
 func FromClaimEntry(k claim.Key, e claim.Entry, now time.Time) message.ClaimRecord {
 	return message.ClaimRecord{
 		Key:       FromClaimKey(k),
@@ -113,7 +115,7 @@
 	}
 }
 
-// ToClaimEntry returns the record of a wire form that was received at a time.
+// ToClaimEntry converts a claim from its wire form, with its age counted back from now.
 func ToClaimEntry(m message.ClaimRecord, now time.Time) claim.Entry {
 	return claim.NewEntry(claim.EntryConfig{
 		State:   claim.State(m.State),
@@ -122,7 +124,7 @@
 	})
 }
 
-// FromTokenAsk returns the wire form of a request for tokens without its customer and service.
+// FromTokenAsk returns the wire form of a request for tokens. The caller sets the customer and the service.
 func FromTokenAsk(a bucket.AskConfig) message.TokenAsk {
 	m := message.TokenAsk{
 		Holder:         string(a.Holder),
@@ -137,7 +139,7 @@
 	return m
 }
 
-// ToTokenAsk returns the request for tokens of a wire form.
+// ToTokenAsk converts a request for tokens from its wire form.
 func ToTokenAsk(m message.TokenAsk) bucket.AskConfig {
 	a := bucket.AskConfig{
 		Holder:   bucket.HolderID(m.Holder),
@@ -152,7 +154,7 @@
 	return a
 }
 
-// FromGrant returns the wire form of a primary's answer.
+// FromGrant returns the wire form of the answer of a shard's primary to a request for tokens.
 func FromGrant(g bucket.Grant) *message.TokenGrant {
 	return &message.TokenGrant{
 		Acting:      true,
@@ -165,7 +167,7 @@
 	}
 }
 
-// ToGrant returns the answer of a wire form.
+// ToGrant converts the answer to a request for tokens from its wire form.
 func ToGrant(m message.TokenGrant) bucket.Grant {
 	return bucket.NewGrant(bucket.GrantConfig{
 		Sequence:   uint64(m.Sequence),
--- a/internal/wire/codec/table.go
+++ b/internal/wire/codec/table.go
@@ -9,16 +9,16 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// FromTable returns the wire form of a routing table with the operator's document.
+// FromTable returns the wire form of a routing table, including the document that the operator supplied, in base64.
 func FromTable(t *figpier.Table) message.Table {
-	m := fromTable(t)
+	m := fromTableWithoutDocument(t)
 	document := base64.StdEncoding.EncodeToString(t.Document())
 	m.Document = &document
 	return m
 }
 
-// fromTable returns the wire form of a routing table without the operator's document.
-func fromTable(t *figpier.Table) message.Table {
+// fromTableWithoutDocument returns the wire form of a routing table as nodes get it, without the operator's document.
+func fromTableWithoutDocument(t *figpier.Table) message.Table {
 	c, limits := t.Config(), t.Limits().Config()
 	m := message.Table{
 		Number:              int(c.Number),
@@ -78,7 +78,8 @@
 	return m
 }
 
-// ToTable returns the routing table of a wire form.
+// ToTable converts a routing table from its wire form, with or without the document. It fails for invalid base64 or an
+// invalid key digest.
 func ToTable(m message.Table) (*figpier.Table, error) {
 	c := figpier.TableConfig{
 		Number:   uint64(m.Number),
