--- a/internal/control/disk/disk.go
+++ b/internal/control/disk/disk.go
@@ -14,7 +14,7 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures of the file system.
+// Error is the error class of file system failures.
 var Error = errs.Class("data folder")
 
 // Config builds a Disk.
@@ -23,96 +23,99 @@
 	Folder string
 	// Instance is the control instance's name.
 	Instance figpier.InstanceID
-	// Incarnation names the member that a new folder makes.
+	// Incarnation tells the member of a new folder from earlier members of the same instance; an existing folder keeps its own.
 	Incarnation string
 }
 
-// Disk is the open data folder of one member.
+// Disk is the open data folder of one member. After Open, one goroutine at a time may call Write.
 type Disk struct {
-	config   Config
-	lock     *os.File
-	segment  *os.File
-	number   int
-	offset   int64
-	failure  error
-	fresh    bool
-	cut      int64
-	state    replica.HardState
-	snapshot *replica.Snapshot
-	entries  []*replica.Entry
+	config        Config
+	lock          *os.File
+	segment       *os.File
+	segmentNumber int
+	// segmentEnd is the length of the segment in bytes, at which the next record begins.
+	segmentEnd int64
+	// writeErr is the first error of Write, which every later call returns.
+	writeErr     error
+	fresh        bool
+	droppedBytes int64
+	state        replica.HardState
+	snapshot     *replica.Snapshot
+	entries      []*replica.Entry
 }
 
-// Open reads a data folder, or makes a new one for a new incarnation when it is empty or missing.
+// Open locks and reads a data folder, or creates one for a new incarnation when it is empty or missing.
+// It fails with a LockedFolderError, a ForeignFolderError or a DamagedError where one of these applies.
 func Open(c Config) (*Disk, error) {
 	if err := makeFolder(c.Folder); err != nil {
 		return nil, err
 	}
-	l, err := lock(c.Folder)
+	l, err := lockFolder(c.Folder)
 	if err != nil {
 		return nil, err
 	}
 	d := &Disk{config: c, lock: l}
-	if err := d.open(); err != nil {
+	if err := d.loadOrInitialize(); err != nil {
 		_ = d.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-func (d *Disk) open() error {
-	found, err := list(d.config.Folder)
+func (d *Disk) loadOrInitialize() error {
+	contents, err := listFolder(d.config.Folder)
 	if err != nil {
 		return err
 	}
-	if !found.identity {
-		return d.found(found)
+	if !contents.identity {
+		return d.initialize(contents)
 	}
 	incarnation, err := readIdentity(d.config.Folder, d.config.Instance)
 	if err != nil {
 		return err
 	}
 	d.config.Incarnation = incarnation
-	return d.load(found)
+	return d.load(contents)
 }
 
-// found makes a new member; the identity is written last, so that a crash on the way leaves no member.
-func (d *Disk) found(c content) error {
-	if len(c.segments) > 1 || c.others > 0 || len(c.segments) == 1 && c.segments[0] != segmentName(1) {
-		return &DamagedError{file: d.path(identityFile), detail: "the file is missing beside a log"}
+// initialize creates a new member. The identity is written last, so that a crash before it leaves a folder that initialize accepts again.
+func (d *Disk) initialize(c folderContents) error {
+	if len(c.segments) > 1 || c.snapshots > 0 || len(c.segments) == 1 && c.segments[0] != segmentName(1) {
+		return &DamagedError{file: d.path(identityFile), detail: "the file is missing but the folder holds a log"}
 	}
 	if len(c.segments) == 1 {
 		if err := d.load(c); err != nil {
 			return err
 		}
 		if d.state != (replica.HardState{}) || len(d.entries) > 0 {
-			return &DamagedError{file: d.path(identityFile), detail: "the file is missing beside a log"}
+			return &DamagedError{file: d.path(identityFile), detail: "the file is missing but the folder holds a log"}
 		}
 		_ = d.segment.Close()
 	}
 	d.fresh = true
-	if err := d.rotate(1, nil, nil); err != nil {
+	if err := d.startSegment(1, nil, nil); err != nil {
 		return err
 	}
-	identity, err := single(message.ReplicaIdentity{
+	identity, err := encodeRecordFile(message.ReplicaIdentity{
 		Instance:    string(d.config.Instance),
 		Incarnation: d.config.Incarnation,
 	})
 	if err != nil {
 		return err
 	}
-	return replace(d.path(identityFile), identity)
+	return replaceFile(d.path(identityFile), identity)
 }
 
-// Member returns the name of the member that the folder belongs to.
+// Member returns the id of the member that the folder belongs to.
 func (d *Disk) Member() replica.MemberID {
 	return replica.NewMemberID(d.config.Instance, d.config.Incarnation)
 }
 
-// Fresh reports whether the folder was empty or missing.
+// Fresh reports whether Open created the member.
 func (d *Disk) Fresh() bool { return d.fresh }
 
-// Cut returns the number of bytes that a crash had left at the end of the log and that were dropped.
-func (d *Disk) Cut() int64 { return d.cut }
+// DroppedBytes returns the size of the incomplete record that Open removed from the end of the log, 0 for none.
+func (d *Disk) DroppedBytes() int64 { return d.droppedBytes }
 
 // State returns the hard state at the time of opening.
 func (d *Disk) State() replica.HardState { return d.state }
@@ -123,13 +126,13 @@
 // Entries returns the entries after the snapshot at the time of opening.
 func (d *Disk) Entries() []*replica.Entry { return d.entries }
 
-// Write makes the writes of effects durable; after a failure the folder takes no more.
+// Write makes the writes of effects durable in order. After an error every further call returns the same error.
 func (d *Disk) Write(all []*replica.Effects) error {
-	if d.failure != nil {
-		return d.failure
+	if d.writeErr != nil {
+		return d.writeErr
 	}
-	d.failure = d.write(all)
-	return d.failure
+	d.writeErr = d.write(all)
+	return d.writeErr
 }
 
 func (d *Disk) write(all []*replica.Effects) error {
@@ -154,21 +157,21 @@
 	return d.appendRecord(pending)
 }
 
-// appendRecord writes the hard state and entries as one record.
+// appendRecord writes the hard state and entries as one record and syncs the segment.
 func (d *Disk) appendRecord(entries []*replica.Entry) error {
-	payload, err := encode(d.state, entries)
+	payload, err := encodeRecord(d.state, entries)
 	if err != nil {
 		return err
 	}
-	n, err := d.segment.Write(frame(payload, d.offset))
+	n, err := d.segment.Write(encodeFrame(payload, d.segmentEnd))
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	d.offset += int64(n)
+	d.segmentEnd += int64(n)
 	return Error.Wrap(d.segment.Sync())
 }
 
-func encode(s replica.HardState, entries []*replica.Entry) ([]byte, error) {
+func encodeRecord(s replica.HardState, entries []*replica.Entry) ([]byte, error) {
 	state := codec.FromReplicaState(s)
 	payload, err := json.Marshal(message.ReplicaRecord{
 		State:   &state,
@@ -177,60 +180,60 @@
 	return payload, Error.Wrap(err)
 }
 
-// compact writes a snapshot and then a segment that names it.
+// compact writes a snapshot and a new segment that names it, and then removes the files that these replace.
 func (d *Disk) compact(e *replica.Effects) error {
-	data, err := single(codec.FromReplicaSnapshot(e.Snapshot()))
+	data, err := encodeRecordFile(codec.FromReplicaSnapshot(e.Snapshot()))
 	if err != nil {
 		return err
 	}
 	name := snapshotName(e.Snapshot().Index())
-	if err := replace(d.path(name), data); err != nil {
+	if err := replaceFile(d.path(name), data); err != nil {
 		return err
 	}
 	old := d.segment
-	if err := d.rotate(d.number+1, e.Snapshot(), e.Retained()); err != nil {
+	if err := d.startSegment(d.segmentNumber+1, e.Snapshot(), e.Retained()); err != nil {
 		return err
 	}
 	_ = old.Close()
-	return d.clean(name)
+	return d.removeObsolete(name)
 }
 
-// rotate writes a new segment, which counts once it has its name.
-func (d *Disk) rotate(number int, s *replica.Snapshot, retained []*replica.Entry) error {
+// startSegment writes a segment with the hard state and the retained entries, and makes it the current one. It takes effect when the file gets its name.
+func (d *Disk) startSegment(number int, s *replica.Snapshot, retained []*replica.Entry) error {
 	head := message.ReplicaSegment{Number: number}
 	if s != nil {
 		head.Snapshot = int(s.Index())
 	}
-	data, err := single(head)
+	data, err := encodeRecordFile(head)
 	if err != nil {
 		return err
 	}
-	payload, err := encode(d.state, retained)
+	payload, err := encodeRecord(d.state, retained)
 	if err != nil {
 		return err
 	}
-	data = append(data, frame(payload, int64(len(data)))...)
+	data = append(data, encodeFrame(payload, int64(len(data)))...)
 	path := d.path(segmentName(number))
-	if err := replace(path, data); err != nil {
+	if err := replaceFile(path, data); err != nil {
 		return err
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	d.segment, d.number, d.offset = f, number, int64(len(data))
+	d.segment, d.segmentNumber, d.segmentEnd = f, number, int64(len(data))
 	return nil
 }
 
-// clean removes the segments and snapshots that the newest segment replaces.
-func (d *Disk) clean(snapshot string) error {
+// removeObsolete removes all segments and snapshots but the current segment and the named snapshot.
+func (d *Disk) removeObsolete(snapshot string) error {
 	for _, pattern := range []string{segmentPrefix + "*", snapshotPrefix + "*"} {
 		paths, err := filepath.Glob(d.path(pattern))
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		for _, p := range paths {
-			if name := filepath.Base(p); name == snapshot || name == segmentName(d.number) {
+			if name := filepath.Base(p); name == snapshot || name == segmentName(d.segmentNumber) {
 				continue
 			}
 			if err := os.Remove(p); err != nil {
@@ -241,7 +244,7 @@
 	return syncFolder(d.config.Folder)
 }
 
-// Close lets another process open the folder.
+// Close closes the segment and releases the folder's lock.
 func (d *Disk) Close() error {
 	var err error
 	if d.segment != nil {
--- a/internal/control/disk/disk_test.go
+++ b/internal/control/disk/disk_test.go
@@ -13,15 +13,15 @@
 	"github.com/figpier/figpier/internal/policy/replica"
 )
 
-func open(t *testing.T, folder string) *Disk {
+func openDisk(t *testing.T, folder string) *Disk {
 	t.Helper()
 	d, err := Open(Config{Folder: folder, Instance: "c1", Incarnation: "a"})
 	assert.NilError(t, err)
 	return d
 }
 
-// grow lets a lone member take proposals, writing all effects, and returns it.
-func grow(t *testing.T, d *Disk, proposals int) *replica.Machine {
+// proposeAndWrite runs a cluster of one member on a disk, commits proposals and returns the member.
+func proposeAndWrite(t *testing.T, d *Disk, proposals int) *replica.Machine {
 	t.Helper()
 	m := replica.New(replica.Config{
 		Self: d.Member(), Heartbeat: 1, Election: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
@@ -32,15 +32,15 @@
 		m.Found(m.NextTick(), "log", replica.NewMembers(self), []byte("genesis"))
 	}
 	m.Tick(m.NextTick())
-	settle(t, d, m)
+	writeEffects(t, d, m)
 	for i := range proposals {
 		assert.NilError(t, m.Propose(m.NextTick(), "p"+strconv.Itoa(i), []byte("command")))
-		settle(t, d, m)
+		writeEffects(t, d, m)
 	}
 	return m
 }
 
-func settle(t *testing.T, d *Disk, m *replica.Machine) {
+func writeEffects(t *testing.T, d *Disk, m *replica.Machine) {
 	t.Helper()
 	for e := m.Take(); e.Writes(); e = m.Take() {
 		assert.NilError(t, d.Write([]*replica.Effects{e}))
@@ -55,7 +55,7 @@
 	return d.Snapshot().Index()
 }
 
-func segment(t *testing.T, folder string) string {
+func segmentPath(t *testing.T, folder string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, segmentPrefix+"*"))
 	assert.NilError(t, err)
@@ -67,18 +67,18 @@
 	folder := t.TempDir()
 	var term, last uint64
 	for round := range 5 {
-		d := open(t, folder)
+		d := openDisk(t, folder)
 		assert.Equal(t, d.Fresh(), round == 0)
 		assert.Equal(t, d.State().Term(), term)
 		if round > 0 {
 			assert.Equal(t, lastIndex(d), last)
 		}
-		m := grow(t, d, 100)
+		m := proposeAndWrite(t, d, 100)
 		if round%2 == 1 {
 			m.Compact([]byte("state"))
-			settle(t, d, m)
+			writeEffects(t, d, m)
 			assert.NilError(t, d.Close())
-			d = open(t, folder)
+			d = openDisk(t, folder)
 			assert.Equal(t, string(d.Snapshot().Data()), "state")
 		}
 		term, last = m.Term(), m.Commit()
@@ -87,45 +87,45 @@
 	assert.Equal(t, last, uint64(1+5*101))
 }
 
-func TestDiskDropsAWriteThatACrashCutOff(t *testing.T) {
+func TestOpenDropsRecordLeftIncompleteByCrash(t *testing.T) {
 	folder := t.TempDir()
-	d := open(t, folder)
-	m := grow(t, d, 3)
-	whole, err := os.ReadFile(segment(t, folder))
+	d := openDisk(t, folder)
+	m := proposeAndWrite(t, d, 3)
+	whole, err := os.ReadFile(segmentPath(t, folder))
 	assert.NilError(t, err)
 	assert.NilError(t, m.Propose(m.NextTick(), "last", []byte("command")))
-	settle(t, d, m)
+	writeEffects(t, d, m)
 	assert.NilError(t, d.Close())
-	path := segment(t, folder)
+	path := segmentPath(t, folder)
 	all, err := os.ReadFile(path)
 	assert.NilError(t, err)
 
 	for end := len(whole); end < len(all); end++ {
 		assert.NilError(t, os.WriteFile(path, all[:end], fileMode))
-		d := open(t, folder)
+		d := openDisk(t, folder)
 		assert.Equal(t, lastIndex(d), m.Commit()-1, "cut at %d", end)
-		assert.Equal(t, d.Cut(), int64(end-len(whole)))
-		next := grow(t, d, 1)
+		assert.Equal(t, d.DroppedBytes(), int64(end-len(whole)))
+		next := proposeAndWrite(t, d, 1)
 		assert.NilError(t, d.Close())
-		d = open(t, folder)
+		d = openDisk(t, folder)
 		assert.Equal(t, lastIndex(d), next.Commit())
 		assert.NilError(t, d.Close())
 	}
 	unwritten := append(append([]byte{}, whole...), make([]byte, len(all)-len(whole))...)
 	assert.NilError(t, os.WriteFile(path, unwritten, fileMode))
-	d = open(t, folder)
+	d = openDisk(t, folder)
 	assert.Equal(t, lastIndex(d), m.Commit()-1)
 	assert.NilError(t, d.Close())
 }
 
 func TestDiskRefusesEachDamagedByte(t *testing.T) {
 	folder := t.TempDir()
-	d := open(t, folder)
-	m := grow(t, d, 3)
+	d := openDisk(t, folder)
+	m := proposeAndWrite(t, d, 3)
 	m.Compact([]byte("state"))
-	settle(t, d, m)
+	writeEffects(t, d, m)
 	assert.NilError(t, m.Propose(m.NextTick(), "last", []byte("command")))
-	settle(t, d, m)
+	writeEffects(t, d, m)
 	assert.NilError(t, d.Close())
 
 	paths, err := filepath.Glob(filepath.Join(folder, "*-*"))
@@ -145,14 +145,14 @@
 		}
 		assert.NilError(t, os.WriteFile(path, whole, fileMode))
 	}
-	assert.NilError(t, open(t, folder).Close())
+	assert.NilError(t, openDisk(t, folder).Close())
 }
 
 func TestDiskRefusesAFolderWithAMissingFile(t *testing.T) {
 	for _, pattern := range []string{identityFile, segmentPrefix + "*", snapshotPrefix + "*"} {
 		folder := t.TempDir()
-		d := open(t, folder)
-		grow(t, d, 3)
+		d := openDisk(t, folder)
+		proposeAndWrite(t, d, 3)
 		assert.NilError(t, d.Close())
 		paths, err := filepath.Glob(filepath.Join(folder, pattern))
 		assert.NilError(t, err)
@@ -165,9 +165,9 @@
 	}
 }
 
-func TestDiskRefusesForeignAndBusyFolders(t *testing.T) {
+func TestDiskRefusesForeignAndLockedFolders(t *testing.T) {
 	folder := t.TempDir()
-	d := open(t, folder)
+	d := openDisk(t, folder)
 	_, err := Open(Config{Folder: folder, Instance: "c1", Incarnation: "b"})
 	busy := &LockedFolderError{}
 	assert.Assert(t, errors.As(err, &busy))
@@ -181,7 +181,7 @@
 
 func TestLostFolderMakesANewMember(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
-	d := open(t, folder)
+	d := openDisk(t, folder)
 	was := d.Member()
 	assert.NilError(t, d.Close())
 	assert.NilError(t, os.RemoveAll(folder))
--- a/internal/control/disk/folder.go
+++ b/internal/control/disk/folder.go
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("data folder %s belongs to control instance %q: correct the settings", e.folder, string(e.owner))
 }
 
-// LockedFolderError reports a data folder that another process uses.
+// LockedFolderError reports a data folder that another process has locked.
 type LockedFolderError struct {
 	folder string
 }
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("data folder %s is in use by another process", e.folder)
 }
 
-// lock takes the folder for this process until the file is closed.
-func lock(folder string) (*os.File, error) {
+// lockFolder locks the folder for this process until the returned file is closed.
+func lockFolder(folder string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockFile), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -61,7 +61,7 @@
 	return f, nil
 }
 
-// makeFolder makes the folder durable in its parent.
+// makeFolder creates the folder if it is missing and syncs its parent.
 func makeFolder(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return Error.Wrap(err)
@@ -77,8 +77,8 @@
 	return Error.Wrap(errors.Join(f.Sync(), f.Close()))
 }
 
-// replace writes a whole file so that a crash leaves either the old one or the new one.
-func replace(path string, data []byte) error {
+// replaceFile writes a file under a temporary name and renames it, so that a crash leaves either the old file or the new one.
+func replaceFile(path string, data []byte) error {
 	f, err := os.OpenFile(path+newSuffix, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return Error.Wrap(err)
@@ -93,17 +93,17 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// single returns a file with one record.
-func single(v any) ([]byte, error) {
+// encodeRecordFile returns the content of a file with one record.
+func encodeRecordFile(v any) ([]byte, error) {
 	payload, err := json.Marshal(v)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return append([]byte(magic), frame(payload, int64(len(magic)))...), nil
+	return append([]byte(magic), encodeFrame(payload, int64(len(magic)))...), nil
 }
 
-// readSingle reads a file with one record, which was whole before the file got its name.
-func readSingle(path string, v any) error {
+// readRecordFile reads a file with one record. An incomplete record is damage here, as the file got its name after it was written.
+func readRecordFile(path string, v any) error {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return &DamagedError{file: path, detail: "the file is missing"}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	records, end, err := scan(path, data)
+	records, end, err := scanRecords(path, data)
 	if err != nil {
 		return err
 	}
@@ -124,19 +124,21 @@
 	return nil
 }
 
-// content is what the names in a data folder say.
-type content struct {
+// folderContents lists the files of a data folder by their names.
+type folderContents struct {
 	identity bool
+	// segments are the names of the segment files.
 	segments []string
-	others   int
+	// snapshots is the number of snapshot files.
+	snapshots int
 }
 
-func list(folder string) (content, error) {
+func listFolder(folder string) (folderContents, error) {
 	names, err := os.ReadDir(folder)
 	if err != nil {
-		return content{}, Error.Wrap(err)
+		return folderContents{}, Error.Wrap(err)
 	}
-	var c content
+	var c folderContents
 	for _, e := range names {
 		switch name := e.Name(); {
 		case strings.HasSuffix(name, newSuffix):
@@ -145,7 +147,7 @@
 		case strings.HasPrefix(name, segmentPrefix):
 			c.segments = append(c.segments, name)
 		case strings.HasPrefix(name, snapshotPrefix):
-			c.others++
+			c.snapshots++
 		}
 	}
 	return c, nil
@@ -155,10 +157,10 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016d", snapshotPrefix, index) }
 
-// readIdentity returns the incarnation that owns the folder.
+// readIdentity returns the incarnation of the folder's member, or a ForeignFolderError if the folder belongs to another instance.
 func readIdentity(folder string, i figpier.InstanceID) (incarnation string, err error) {
 	var m message.ReplicaIdentity
-	if err := readSingle(filepath.Join(folder, identityFile), &m); err != nil {
+	if err := readRecordFile(filepath.Join(folder, identityFile), &m); err != nil {
 		return "", err
 	}
 	if m.Instance != string(i) {
--- a/internal/control/disk/load.go
+++ b/internal/control/disk/load.go
@@ -12,40 +12,40 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// load reads the newest segment and the snapshot that it names.
-func (d *Disk) load(c content) error {
+// load reads the newest segment and the snapshot that it names, and removes older files.
+func (d *Disk) load(c folderContents) error {
 	if len(c.segments) == 0 {
-		return &DamagedError{file: d.path(segmentPrefix + "*"), detail: "the log is missing beside an identity"}
+		return &DamagedError{file: d.path(segmentPrefix + "*"), detail: "the folder has an identity but no log"}
 	}
 	path := d.path(slices.Max(c.segments))
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	records, end, err := scan(path, data)
+	records, end, err := scanRecords(path, data)
 	if err != nil {
 		return err
 	}
 	if len(records) < 2 {
 		return &DamagedError{file: path, offset: end, detail: "the file ends early"}
 	}
-	if err := d.readHead(path, records[0]); err != nil {
+	if err := d.readSegmentHeader(path, records[0]); err != nil {
 		return err
 	}
 	for _, r := range records[1:] {
-		if err := d.readRecord(path, r); err != nil {
+		if err := d.replayRecord(path, r); err != nil {
 			return err
 		}
 	}
-	d.cut = int64(len(data)) - end
-	if err := d.reopen(path, end); err != nil {
+	d.droppedBytes = int64(len(data)) - end
+	if err := d.openSegment(path, end); err != nil {
 		return err
 	}
-	return d.clean(snapshotName(d.first() - 1))
+	return d.removeObsolete(snapshotName(d.firstIndex() - 1))
 }
 
-// readHead reads the record that opens a segment, and its snapshot.
-func (d *Disk) readHead(path string, r record) error {
+// readSegmentHeader reads the first record of a segment and the snapshot that it names.
+func (d *Disk) readSegmentHeader(path string, r record) error {
 	var head message.ReplicaSegment
 	if err := json.Unmarshal(r.payload, &head); err != nil {
 		return &DamagedError{file: path, offset: r.offset, detail: err.Error()}
@@ -53,13 +53,13 @@
 	if filepath.Base(path) != segmentName(head.Number) {
 		return &DamagedError{file: path, offset: r.offset, detail: fmt.Sprintf("the file was written as segment %d", head.Number)}
 	}
-	d.number = head.Number
+	d.segmentNumber = head.Number
 	if head.Snapshot == 0 {
 		return nil
 	}
 	var m message.ReplicaSnapshot
 	file := d.path(snapshotName(uint64(head.Snapshot)))
-	if err := readSingle(file, &m); err != nil {
+	if err := readRecordFile(file, &m); err != nil {
 		return err
 	}
 	s, err := codec.ToReplicaSnapshot(m)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// readRecord replays one write.
-func (d *Disk) readRecord(path string, r record) error {
+// replayRecord applies the hard state and entries of one write.
+func (d *Disk) replayRecord(path string, r record) error {
 	var m message.ReplicaRecord
 	if err := json.Unmarshal(r.payload, &m); err != nil {
 		return &DamagedError{file: path, offset: r.offset, detail: err.Error()}
@@ -84,16 +84,16 @@
 		if err != nil {
 			return &DamagedError{file: path, offset: r.offset, detail: err.Error()}
 		}
-		if !d.replay(e) {
+		if !d.addEntry(e) {
 			return &DamagedError{file: path, offset: r.offset, detail: fmt.Sprintf("entry %d does not follow the entries before it", e.Index())}
 		}
 	}
 	return nil
 }
 
-// replay adds an entry, which replaces all from its index on.
-func (d *Disk) replay(e *replica.Entry) bool {
-	first := d.first()
+// addEntry adds an entry, which replaces all from its index on. It returns false if the index leaves a gap or is in the snapshot.
+func (d *Disk) addEntry(e *replica.Entry) bool {
+	first := d.firstIndex()
 	if e.Index() < first || e.Index() > first+uint64(len(d.entries)) {
 		return false
 	}
@@ -101,22 +101,22 @@
 	return true
 }
 
-// first returns the index of the first entry after the snapshot.
-func (d *Disk) first() uint64 {
+// firstIndex returns the index of the first entry after the snapshot.
+func (d *Disk) firstIndex() uint64 {
 	if d.snapshot == nil {
 		return 1
 	}
 	return d.snapshot.Index() + 1
 }
 
-// reopen drops what a crash cut off and opens the segment for more.
-func (d *Disk) reopen(path string, end int64) error {
+// openSegment opens a segment for appending and truncates it after its last complete record.
+func (d *Disk) openSegment(path string, end int64) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	d.segment, d.offset = f, end
-	if d.cut == 0 {
+	d.segment, d.segmentEnd = f, end
+	if d.droppedBytes == 0 {
 		return nil
 	}
 	if err := f.Truncate(end); err != nil {
--- a/internal/control/disk/record.go
+++ b/internal/control/disk/record.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	magic       = "figlog01"
-	headerBytes = 16
-	sectorBytes = 512
+	magic       = "figlog01" // the first bytes of every file
+	headerBytes = 16         // of a record, before its payload
+	sectorBytes = 512        // the smallest unit that a disk writes
 )
 
-// DamagedError reports a file of the data folder that can't be trusted.
+// DamagedError reports a file of the data folder that is missing or fails its checks.
 type DamagedError struct {
 	file   string
 	offset int64
@@ -23,7 +23,7 @@
 // File returns the path of the file.
 func (e *DamagedError) File() string { return e.file }
 
-// Offset returns the place of the fault in bytes from the start of the file.
+// Offset returns the position of the fault in bytes from the start of the file.
 func (e *DamagedError) Offset() int64 { return e.offset }
 
 // Error implements error.
@@ -31,16 +31,16 @@
 	return fmt.Sprintf("%s is damaged at byte %d: %s; nothing was changed: move the data folder away and start again, and the instance rejoins as a new member", e.file, e.offset, e.detail)
 }
 
-// frame returns a record as it stands in a file at an offset: length, checksum of the length, checksum, payload.
-func frame(payload []byte, offset int64) []byte {
+// encodeFrame returns a record for a file at an offset: payload length (4 bytes), its checksum (4), checksum of the payload (8), payload. The offset seeds both checksums, so that a record is valid only where it was written.
+func encodeFrame(payload []byte, offset int64) []byte {
 	b := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.LittleEndian.PutUint32(b, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(b[4:], lengthSum(b[:4], offset))
+	binary.LittleEndian.PutUint32(b[4:], lengthChecksum(b[:4], offset))
 	binary.LittleEndian.PutUint64(b[8:], xxh3.HashSeed(payload, uint64(offset)))
 	return append(b, payload...)
 }
 
-func lengthSum(length []byte, offset int64) uint32 {
+func lengthChecksum(length []byte, offset int64) uint32 {
 	return uint32(xxh3.HashSeed(length, uint64(offset)))
 }
 
@@ -50,14 +50,14 @@
 	payload []byte
 }
 
-// scan returns the records of a file and where the last whole one ends.
-func scan(file string, data []byte) (records []record, end int64, err error) {
+// scanRecords returns the complete records of a file and the offset at which the last one ends.
+func scanRecords(file string, data []byte) (records []record, end int64, err error) {
 	if len(data) < len(magic) || string(data[:len(magic)]) != magic {
-		return nil, 0, &DamagedError{file: file, detail: "the file does not begin as one of this format"}
+		return nil, 0, &DamagedError{file: file, detail: "the file does not start with the format's signature"}
 	}
 	end = int64(len(magic))
 	for end < int64(len(data)) {
-		payload, torn, fault := next(data[end:], end)
+		payload, torn, fault := readFrame(data[end:], end)
 		if fault != "" {
 			return nil, 0, &DamagedError{file: file, offset: end, detail: fault}
 		}
@@ -70,12 +70,12 @@
 	return records, end, nil
 }
 
-// next reads the record at the start of the rest of a file and tells one that a crash cut off from a damaged one.
-func next(rest []byte, offset int64) (payload []byte, torn bool, fault string) {
+// readFrame reads the record at the start of the rest of a file. It returns torn for a record that a crash left incomplete, and a fault for a damaged one.
+func readFrame(rest []byte, offset int64) (payload []byte, torn bool, fault string) {
 	if len(rest) < headerBytes {
 		return nil, true, ""
 	}
-	if binary.LittleEndian.Uint32(rest[4:]) != lengthSum(rest[:4], offset) {
+	if binary.LittleEndian.Uint32(rest[4:]) != lengthChecksum(rest[:4], offset) {
 		if len(trimZeros(rest)) < headerBytes {
 			return nil, true, ""
 		}
@@ -90,13 +90,13 @@
 		return payload, false, ""
 	}
 	last := length == len(rest)-headerBytes
-	if last && unwrittenSector(rest, offset) {
+	if last && hasUnwrittenSector(rest, offset) {
 		return nil, true, ""
 	}
 	return nil, false, "a record fails its checksum"
 }
 
-// trimZeros drops the zero bytes at the end.
+// trimZeros returns b without its trailing zero bytes.
 func trimZeros(b []byte) []byte {
 	for len(b) > 0 && b[len(b)-1] == 0 {
 		b = b[:len(b)-1]
@@ -104,8 +104,8 @@
 	return b
 }
 
-// unwrittenSector reports whether a whole sector of a record is zero, as JSON never is.
-func unwrittenSector(b []byte, offset int64) bool {
+// hasUnwrittenSector reports whether a sector of a record is all zeros. JSON has no zero bytes, so such a sector was never written.
+func hasUnwrittenSector(b []byte, offset int64) bool {
 	start := int((sectorBytes - offset%sectorBytes) % sectorBytes)
 	for at := start; at < len(b); at += sectorBytes {
 		if len(trimZeros(b[at:min(at+sectorBytes, len(b))])) == 0 {
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -19,13 +19,13 @@
 	"github.com/figpier/figpier/internal/kernel/system"
 )
 
-// network connects the messengers of a test and can cut instances off without a sign.
+// network connects the messengers of a test. Messages from and to an isolated instance are lost without an error.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]map[figpier.Method]figpier.MessageHandler
 	cut      map[string]bool
-	// doomed is cut off as soon as the leader has taken a proposal from it.
-	doomed string
+	// cutAfterProposal is the address that is isolated as soon as the leader has answered a proposal from it.
+	cutAfterProposal string
 }
 
 func (n *network) isolate(address string, cut bool) {
@@ -34,21 +34,21 @@
 	n.cut[address] = cut
 }
 
-func (n *network) doom(address string) {
+func (n *network) isolateAfterProposal(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.doomed = address
+	n.cutAfterProposal = address
 }
 
-func (n *network) proposed(from string, m figpier.Method) {
+func (n *network) delivered(from string, m figpier.Method) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if m == figpier.MethodPropose && from == n.doomed {
+	if m == figpier.MethodPropose && from == n.cutAfterProposal {
 		n.cut[from] = true
 	}
 }
 
-func (n *network) silent(addresses ...string) bool {
+func (n *network) isolated(addresses ...string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range addresses {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// endpoint implements figpier.Messenger on a network.
+// endpoint implements figpier.Messenger for one address of a network.
 type endpoint struct {
 	network *network
 	address string
@@ -92,7 +92,7 @@
 	if !ok {
 		return Error.New("connection refused")
 	}
-	if e.network.silent(e.address, address) {
+	if e.network.isolated(e.address, address) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -104,8 +104,8 @@
 	if err != nil {
 		return err
 	}
-	e.network.proposed(e.address, m)
-	if e.network.silent(e.address, address) {
+	e.network.delivered(e.address, m)
+	if e.network.isolated(e.address, address) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -125,7 +125,7 @@
 	stop    func()
 }
 
-// cluster is three control instances with an in-memory network.
+// cluster is three control instances on an in-memory network, each with a data folder on disk.
 type cluster struct {
 	t         *testing.T
 	network   *network
@@ -164,7 +164,7 @@
 	assert.NilError(i.cluster.t, k.Register(&endpoint{network: i.cluster.network, address: string(i.name)}))
 	assert.NilError(i.cluster.t, k.Register(i.log))
 	assert.NilError(i.cluster.t, k.Register(i.catalog))
-	ready := &readiness{started: make(chan struct{})}
+	ready := &startProbe{started: make(chan struct{})}
 	assert.NilError(i.cluster.t, k.Register(ready))
 	stop, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -180,17 +180,17 @@
 	})
 }
 
-// readiness tells when all services have started.
-type readiness struct{ started chan struct{} }
+// startProbe is registered last and closes started when all other services have started.
+type startProbe struct{ started chan struct{} }
 
-func (*readiness) Name() figpier.ServiceName { return "test.readiness" }
+func (*startProbe) Name() figpier.ServiceName { return "test.readiness" }
 
-func (r *readiness) Start(context.Context, figpier.Directory) error {
+func (r *startProbe) Start(context.Context, figpier.Directory) error {
 	close(r.started)
 	return nil
 }
 
-func (*readiness) Stop(context.Context) error { return nil }
+func (*startProbe) Stop(context.Context) error { return nil }
 
 // loseDisk stops an instance, deletes its data folder and starts it again.
 func (i *instance) loseDisk() {
@@ -199,8 +199,8 @@
 	i.start()
 }
 
-// edit returns an edit of the profile "p".
-func edit(operation string, base figpier.Revision) *figpier.Edit {
+// newProfileEdit returns an edit that applies the profile "p" on a base revision.
+func newProfileEdit(operation string, base figpier.Revision) *figpier.Edit {
 	return figpier.NewEdit(figpier.EditConfig{
 		Operation: figpier.OperationID(operation),
 		Kind:      figpier.EditApplyProfile,
@@ -212,7 +212,7 @@
 func (i *instance) submit(operation string, base figpier.Revision) (*figpier.Receipt, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return i.catalog.Submit(ctx, edit(operation, base))
+	return i.catalog.Submit(ctx, newProfileEdit(operation, base))
 }
 
 // revision returns the revision of the profile "p", 0 when there is none.
@@ -224,8 +224,8 @@
 	return p.Revision()
 }
 
-// accept resends an edit on the newest revision until it is accepted, and returns its revision.
-func (c *cluster) accept(operation string, at *instance) (accepted figpier.Revision) {
+// submitUntilAccepted resends an edit, always on the revision known at the first call, until it is accepted, and returns its revision.
+func (c *cluster) submitUntilAccepted(operation string, at *instance) (accepted figpier.Revision) {
 	c.t.Helper()
 	base := at.revision()
 	c.eventually(operation+" is accepted", func() bool {
@@ -248,8 +248,8 @@
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(20*time.Millisecond))
 }
 
-// converge waits until all instances have a revision and know themselves current.
-func (c *cluster) converge(want figpier.Revision) {
+// waitForRevision waits until all instances have a revision and were in contact with a quorum within two seconds.
+func (c *cluster) waitForRevision(want figpier.Revision) {
 	c.t.Helper()
 	for _, i := range c.instances {
 		c.eventually(fmt.Sprintf("%s has revision %d", i.name, want), func() bool {
@@ -259,7 +259,7 @@
 	}
 }
 
-func (c *cluster) leader() *instance {
+func (c *cluster) waitForLeader() *instance {
 	c.t.Helper()
 	var lead *instance
 	c.eventually("one instance leads", func() bool {
@@ -273,8 +273,8 @@
 	return lead
 }
 
-// repaired waits until the member of an instance counts on all instances.
-func (c *cluster) repaired(i *instance) {
+// waitUntilVoter waits until an instance is a voter and knows of as many voters as there are peers.
+func (c *cluster) waitUntilVoter(i *instance) {
 	c.t.Helper()
-	c.eventually(string(i.name)+" counts", func() bool { return i.log.published.Load().voters == len(c.peers) })
+	c.eventually(string(i.name)+" is a voter", func() bool { return i.log.published.Load().voters == len(c.peers) })
 }
--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -1,4 +1,4 @@
-// Package replica is a control instance's part in the replicated log: it feeds the decisions of one member with messages, timers and finished writes, and carries out what they ask for.
+// Package replica runs one member of the replicated log: it feeds messages, timers and finished writes to the consensus decisions in internal/policy/replica and carries out their effects.
 //
-// The member's state belongs to the control thread. One goroutine writes to the disk, and messages are sent by short-lived goroutines; both report by events.
+// Only the control thread uses the member's state. One goroutine writes to the disk, and short-lived goroutines send messages; both report back by events.
 package replica
--- a/internal/control/replica/event.go
+++ b/internal/control/replica/event.go
@@ -7,68 +7,71 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// event is an event of the replicated log.
-type event struct{}
+// baseEvent is embedded in each event to address it to the replicated log.
+type baseEvent struct{}
 
 // Target implements figpier.Event.
-func (event) Target() figpier.ServiceName { return figpier.ReplicaService }
+func (baseEvent) Target() figpier.ServiceName { return figpier.ReplicaService }
 
-// started begins the member's work.
-type started struct{ event }
+// started is posted once by Start and begins the search for an existing log.
+type started struct{ baseEvent }
 
-// tick lets time pass.
-type tick struct{ event }
+// tick is posted when the member's next deadline is due.
+type tick struct{ baseEvent }
 
-// arrived brings a message from another member.
-type arrived struct {
-	event
+// messageReceived carries a message from another member.
+type messageReceived struct {
+	baseEvent
 	message *decision.Message
 }
 
-// written reports that effects are on disk, or that the disk failed.
-type written struct {
-	event
+// writesFinished reports that the writes of effects are durable, or err when the disk failed.
+type writesFinished struct {
+	baseEvent
 	effects []*decision.Effects
 	err     error
 }
 
-// resign asks the leader to hand over.
-type resign struct{ event }
+// handOver is posted by Stop and asks the leader to transfer the leadership.
+type handOver struct{ baseEvent }
 
-// joinDue starts a look at the other control instances.
-type joinDue struct{ event }
+// discoveryDue is posted every joinInterval and starts the next round of probes if one is needed.
+type discoveryDue struct{ baseEvent }
 
-// probed brings what the other control instances said.
-type probed struct {
-	event
-	peers []peer
+// probesFinished carries the answers to a round of probes and this instance's own status.
+type probesFinished struct {
+	baseEvent
+	peers []peerStatus
 }
 
-// request asks the leader for a change and gets a verdict.
-type request struct {
-	event
-	do      func(m *decision.Machine, now time.Time) error
+// memberRequest runs a function on the member's state for another control instance; verdict has room for one answer.
+type memberRequest struct {
+	baseEvent
+	run     func(m *decision.Machine, now time.Time) error
 	verdict chan verdict
 }
 
-// verdict says whether the leader took a request, and who leads if not.
+// verdict says whether this member accepted a request, and otherwise why not and who leads.
 type verdict struct {
-	taken   bool
-	leader  figpier.InstanceID
-	address string
-	detail  string
+	accepted bool
+	leader   figpier.InstanceID
+	address  string
+	detail   string
 }
 
-// question asks what this instance is.
-type question struct {
-	event
-	answer chan peer
+// statusRequest asks for this instance's status; answer has room for one.
+type statusRequest struct {
+	baseEvent
+	answer chan peerStatus
 }
 
-// peer is what a control instance says of itself.
-type peer struct {
-	member        decision.Member
-	cluster       string
+// peerStatus is a control instance's answer to a probe.
+type peerStatus struct {
+	member decision.Member
+	// cluster is the name of the log that the instance belongs to, empty for none.
+	cluster string
+	// leaderAddress is the leader's address for messages, empty when unknown.
 	leaderAddress string
-	founder       bool
+	// founder says that the instance may take part in founding a log.
+	founder bool
 }
--- a/internal/control/replica/handle.go
+++ b/internal/control/replica/handle.go
@@ -7,74 +7,74 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// HandleEvent implements figpier.EventHandler.
+// HandleEvent implements figpier.EventHandler; it runs on the control thread.
 func (l *Log) HandleEvent(now time.Time, e figpier.Event) {
-	if l.failed || l.work.Err() != nil {
-		l.refuse(e)
+	if l.failed || l.runContext.Err() != nil {
+		l.reject(e)
 		return
 	}
 	l.dispatch(now, e)
-	l.process(now)
-	l.settleProposals(now)
-	l.schedule(now)
+	l.processEffects(now)
+	l.updateProposals(now)
+	l.scheduleTick(now)
 }
 
-// onResign hands over, if there is anyone to hand over to.
-func (l *Log) onResign() {
-	if l.resigning {
+// onHandOver starts to transfer the leadership, or ends the hand-over if no other voter can take it.
+func (l *Log) onHandOver() {
+	if l.handingOver {
 		return
 	}
-	l.resigning = true
+	l.handingOver = true
 	if !l.machine.Resign() {
-		close(l.resigned)
+		close(l.handedOver)
 	}
 }
 
 func (l *Log) dispatch(now time.Time, e figpier.Event) {
 	switch e := e.(type) {
 	case started:
-		l.look(now)
+		l.discover(now)
 	case tick:
 		l.machine.Tick(now)
-	case arrived:
+	case messageReceived:
 		l.machine.Receive(now, e.message)
-	case written:
-		l.onWritten(now, e)
-	case resign:
-		l.onResign()
-	case joinDue:
-		l.look(now)
-	case probed:
-		l.onProbed(now, e.peers)
-	case request:
-		e.verdict <- l.judge(e.do(l.machine, now))
-	case question:
-		e.answer <- l.self()
+	case writesFinished:
+		l.onWritesFinished(now, e)
+	case handOver:
+		l.onHandOver()
+	case discoveryDue:
+		l.discover(now)
+	case probesFinished:
+		l.joinOrBootstrap(now, e.peers)
+	case memberRequest:
+		e.verdict <- l.newVerdict(e.run(l.machine, now))
+	case statusRequest:
+		e.answer <- l.ownStatus()
 	case *proposal:
 		l.onProposal(e)
-	case forwarded:
-		l.onForwarded(e)
-	case expired:
-		l.onExpired(e)
+	case forwardFinished:
+		l.onForwardFinished(e)
+	case proposalExpired:
+		l.onProposalExpired(e)
 	}
 }
 
-// refuse answers whoever waits when the member takes part no more.
-func (l *Log) refuse(e figpier.Event) {
+// reject answers a request or proposal after the member has failed or stopped; other events are ignored.
+func (l *Log) reject(e figpier.Event) {
 	switch e := e.(type) {
-	case request:
-		e.verdict <- verdict{detail: "the control instance stops"}
+	case memberRequest:
+		e.verdict <- verdict{detail: "the control instance is stopping"}
 	case *proposal:
 		e.finish(nil, figpier.NewNotLeaderError(""))
 	}
 }
 
-// process carries out the member's effects.
-func (l *Log) process(now time.Time) {
+// processEffects carries out the member's effects, takes a snapshot if one is due, and publishes the status.
+func (l *Log) processEffects(now time.Time) {
 	for !l.failed {
 		e := l.machine.Take()
 		l.apply(e)
-		l.queue(e)
+		l.sendOrQueue(e)
 		if !l.compact() {
 			break
 		}
@@ -82,10 +82,10 @@
 	l.publish(now)
 }
 
-// apply drives the state machine and answers the proposers of applied commands.
+// apply restores the state machine or applies committed commands to it, and answers their proposers.
 func (l *Log) apply(e *decision.Effects) {
 	if s := e.Restore(); s != nil {
-		if err := l.states.Restore(s.Data()); err != nil {
+		if err := l.stateMachine.Restore(s.Data()); err != nil {
 			l.fail(err)
 			return
 		}
@@ -94,29 +94,29 @@
 		if n.Kind() != decision.EntryCommand {
 			continue
 		}
-		answer := l.states.Apply(n.Index(), n.Command())
-		l.finish(n.Proposal(), answer, nil)
+		answer := l.stateMachine.Apply(n.Index(), n.Command())
+		l.finishProposal(n.Proposal(), answer, nil)
 	}
 }
 
-// queue sends messages, after the writes before them.
-func (l *Log) queue(e *decision.Effects) {
-	if l.writes == 0 && !e.Writes() {
+// sendOrQueue sends messages at once when no write is pending, and otherwise queues them behind the writes: they must not leave before these are durable.
+func (l *Log) sendOrQueue(e *decision.Effects) {
+	if l.pendingWrites == 0 && !e.Writes() {
 		l.sender.send(e.Messages())
 		return
 	}
 	if e.Writes() || len(e.Messages()) > 0 {
-		l.writes++
-		l.writer.add(e)
+		l.pendingWrites++
+		l.writer.enqueue(e)
 	}
 }
 
-func (l *Log) onWritten(now time.Time, w written) {
+func (l *Log) onWritesFinished(now time.Time, w writesFinished) {
 	if w.err != nil {
 		l.fail(w.err)
 		return
 	}
-	l.writes -= len(w.effects)
+	l.pendingWrites -= len(w.effects)
 	for _, e := range w.effects {
 		l.sender.send(e.Messages())
 		if e.Writes() {
@@ -125,12 +125,12 @@
 	}
 }
 
-// compact takes a snapshot when enough entries were applied since the last one.
+// compact takes a snapshot when snapshotEntries entries were committed since the last one, and reports whether it did.
 func (l *Log) compact() bool {
 	if l.failed || l.machine.Commit() < l.machine.CompactedTo()+snapshotEntries {
 		return false
 	}
-	data, err := l.states.Snapshot()
+	data, err := l.stateMachine.Snapshot()
 	if err != nil {
 		l.fail(err)
 		return false
@@ -139,24 +139,24 @@
 	return true
 }
 
-// fail ends the member's part in the log, so that it promises nothing that it can't keep.
+// fail stops the member and the process after a failed write or an unreadable state, so that it acknowledges nothing that may not be durable.
 func (l *Log) fail(err error) {
 	l.failed = true
-	l.log.WithError(err).Error("the data folder takes no more writes: the process ends, and takes part again when it starts with a sound one")
+	l.log.WithError(err).Error("the replicated log failed: the process stops; restart it with a working data folder to rejoin")
 	l.cancelTick()
-	l.loseProposals()
-	l.failing(err)
+	l.abandonProposals()
+	l.failProcess(err)
 }
 
-// publish shows other threads the state after this event.
+// publish makes the status after this event visible to other threads.
 func (l *Log) publish(now time.Time) {
 	s := &status{
-		leader:  l.machine.Leader(),
-		contact: l.machine.Contact(now),
-		commit:  l.machine.Commit(),
-		leading: l.machine.Leading() && !l.failed,
+		leader:        l.machine.Leader(),
+		quorumContact: l.machine.Contact(now),
+		commit:        l.machine.Commit(),
+		leading:       l.machine.Leading() && !l.failed,
 	}
-	if !l.outside() {
+	if !l.needsJoin() {
 		s.voters = len(l.machine.Members().Voters())
 	}
 	for _, m := range l.machine.Members().List() {
@@ -164,18 +164,18 @@
 			s.peers = append(s.peers, m.Address())
 		}
 	}
-	l.counted = l.counted || l.machine.Members().IsVoter(l.disk.Member())
-	was := l.published.Swap(s)
-	if was.leader != s.leader {
+	l.wasVoter = l.wasVoter || l.machine.Members().IsVoter(l.disk.Member())
+	previous := l.published.Swap(s)
+	if previous.leader != s.leader {
 		l.log.WithFields(map[string]any{"leader": string(s.leader), "term": l.machine.Term()}).Info("the leader changed")
 	}
-	if l.resigning && was.leading && !s.leading {
-		close(l.resigned)
+	if l.handingOver && previous.leading && !s.leading {
+		close(l.handedOver)
 	}
 }
 
-// schedule wakes the member at its next deadline.
-func (l *Log) schedule(now time.Time) {
+// scheduleTick replaces the pending tick by one at the member's next deadline.
+func (l *Log) scheduleTick(now time.Time) {
 	l.cancelTick()
 	if l.failed {
 		return
@@ -183,10 +183,10 @@
 	l.cancelTick = l.control.PostAfter(max(l.machine.NextTick().Sub(now), 0), tick{})
 }
 
-// judge turns a member's answer into a verdict.
-func (l *Log) judge(err error) verdict {
+// newVerdict returns the verdict on a request that ended with err, nil for accepted.
+func (l *Log) newVerdict(err error) verdict {
 	if err == nil {
-		return verdict{taken: true}
+		return verdict{accepted: true}
 	}
 	return verdict{
 		leader:  l.machine.Leader(),
--- a/internal/control/replica/history_test.go
+++ b/internal/control/replica/history_test.go
@@ -16,13 +16,13 @@
 	"github.com/figpier/figpier"
 )
 
-// attempt is one sending of an edit.
+// attempt is one submission of an edit.
 type attempt struct {
 	operation string
 	base      figpier.Revision
 }
 
-// outcome is what an attempt came to: the edit's revision, or the winner's in a conflict.
+// outcome is the result of an attempt; the revision is the edit's own, or the current one in a conflict.
 type outcome struct {
 	kind     string
 	revision figpier.Revision
@@ -35,7 +35,7 @@
 	unknown  = "unknown"
 )
 
-// catalogModel is the naive catalog of one profile.
+// catalogModel is the sequential model of a catalog with one profile.
 type catalogModel struct {
 	global  figpier.Revision
 	current figpier.Revision
@@ -57,7 +57,7 @@
 	return next, o
 }
 
-func step(state, input, output any) []any {
+func stepCatalog(state, input, output any) []any {
 	m := state.(catalogModel)
 	next, want := m.apply(input.(attempt))
 	switch got := output.(outcome); {
@@ -73,21 +73,21 @@
 
 var editsModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{catalogModel{global: 1, answers: map[string]outcome{}}} },
-	Step: step,
+	Step: stepCatalog,
 	Equal: func(a, b any) bool {
 		return reflect.DeepEqual(a, b)
 	},
 }
 
 func outcomeOf(r *figpier.Receipt, err error) outcome {
-	lost := &figpier.ConflictError{}
-	leaderless := &figpier.NotLeaderError{}
+	conflictErr := &figpier.ConflictError{}
+	notLeader := &figpier.NotLeaderError{}
 	switch {
 	case err == nil:
 		return outcome{kind: accepted, revision: r.Revision()}
-	case errors.As(err, &lost):
-		return outcome{kind: conflict, revision: lost.Current()}
-	case errors.As(err, &leaderless):
+	case errors.As(err, &conflictErr):
+		return outcome{kind: conflict, revision: conflictErr.Current()}
+	case errors.As(err, &notLeader):
 		return outcome{kind: notRun}
 	}
 	return outcome{kind: unknown}
@@ -100,7 +100,7 @@
 	all   []porcupine.Operation
 }
 
-// submit sends an edit and records it; an unknown outcome may still come true until the end.
+// submit sends an edit and records it; one with an unknown outcome may still take effect until the end of the test.
 func (h *history) submit(client int, i *instance, a attempt) outcome {
 	call := time.Since(h.start).Nanoseconds()
 	o := outcomeOf(i.submit(a.operation, a.base))
@@ -127,7 +127,7 @@
 func TestRacingEditsAndResendsAreLinearizable(t *testing.T) {
 	const operators, edits = 3, 20
 	c := newCluster(t)
-	c.leader()
+	c.waitForLeader()
 	h := &history{start: time.Now()}
 	var group sync.WaitGroup
 	for n := range operators {
@@ -149,9 +149,9 @@
 		})
 	}
 	for range 3 {
-		lead := c.leader()
+		lead := c.waitForLeader()
 		c.network.isolate(string(lead.name), true)
-		c.eventually("another instance leads", func() bool { return c.leader() != lead && !lead.log.published.Load().leading })
+		c.eventually("another instance leads", func() bool { return c.waitForLeader() != lead && !lead.log.published.Load().leading })
 		c.network.isolate(string(lead.name), false)
 	}
 	group.Wait()
--- a/internal/control/replica/join.go
+++ b/internal/control/replica/join.go
@@ -11,9 +11,9 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// self returns what this instance says of itself.
-func (l *Log) self() peer {
-	return peer{
+// ownStatus returns this instance's answer to a probe.
+func (l *Log) ownStatus() peerStatus {
+	return peerStatus{
 		member: decision.NewMember(decision.MemberConfig{
 			ID:      l.disk.Member(),
 			Address: l.config.Address,
@@ -24,37 +24,37 @@
 	}
 }
 
-// outside reports whether this instance is no voter yet, or voter under an old address; one that operators took out stays out.
-func (l *Log) outside() bool {
+// needsJoin reports whether this instance is not yet a voter, or is a voter under an old address. One with fixed peers that operators removed does not join again.
+func (l *Log) needsJoin() bool {
 	members := l.machine.Members()
 	m, ok := members.Find(l.disk.Member())
 	if !ok {
-		return l.config.Seeded || len(members.List()) == 0 || l.disk.Fresh() && !l.counted
+		return l.config.Seeded || len(members.List()) == 0 || l.disk.Fresh() && !l.wasVoter
 	}
 	return !m.Voter() || m.Address() != l.config.Address
 }
 
-// lost reports whether this instance should look for the others: it is outside, or was perhaps taken out while it was cut off.
-func (l *Log) lost() bool {
-	return l.outside() || l.config.Seeded && l.machine.Leader() == ""
+// needsDiscovery reports whether this instance should probe the others: it needs to join, or it knows no leader and may have been removed while it was isolated.
+func (l *Log) needsDiscovery() bool {
+	return l.needsJoin() || l.config.Seeded && l.machine.Leader() == ""
 }
 
-// look asks the other control instances what they are, while this one is lost.
-func (l *Log) look(now time.Time) {
-	l.control.PostAfter(joinInterval, joinDue{})
-	if !l.lost() {
+// discover probes the other control instances if needed, and schedules the next round.
+func (l *Log) discover(now time.Time) {
+	l.control.PostAfter(joinInterval, discoveryDue{})
+	if !l.needsDiscovery() {
 		return
 	}
-	others := l.others()
+	others := l.candidateAddresses()
 	if len(others) == 0 {
-		l.onProbed(now, []peer{l.self()})
+		l.joinOrBootstrap(now, []peerStatus{l.ownStatus()})
 		return
 	}
-	go l.probeAll(l.self(), others)
+	go l.probeAll(l.ownStatus(), others)
 }
 
-// others returns the addresses at which other control instances may be.
-func (l *Log) others() []string {
+// candidateAddresses returns the addresses of the seeds, the known members and the fixed peers, without this instance's own.
+func (l *Log) candidateAddresses() []string {
 	known := figpier.NewSet[string]()
 	if l.config.Seeded {
 		known = figpier.NewSet(l.seeds.Seeds()...)
@@ -70,11 +70,11 @@
 	return slices.DeleteFunc(known.Values(), func(a string) bool { return a == l.config.Address })
 }
 
-// probeAll collects what the control instances at some addresses say.
-func (l *Log) probeAll(self peer, addresses []string) {
+// probeAll probes the addresses in parallel and posts the answers that arrived, after this instance's own status.
+func (l *Log) probeAll(self peerStatus, addresses []string) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	peers := []peer{self}
+	peers := []peerStatus{self}
 	for _, a := range addresses {
 		group.Go(func() {
 			p, err := l.probe(a)
@@ -87,29 +87,29 @@
 		})
 	}
 	group.Wait()
-	_ = l.control.Post(probed{peers: peers})
+	_ = l.control.Post(probesFinished{peers: peers})
 }
 
-// onProbed joins the log that others have, or founds it when all control instances are new.
-func (l *Log) onProbed(now time.Time, peers []peer) {
-	if !l.lost() {
+// joinOrBootstrap joins the log of a peer that knows a leader, or founds a log if mayBootstrap allows it.
+func (l *Log) joinOrBootstrap(now time.Time, peers []peerStatus) {
+	if !l.needsDiscovery() {
 		return
 	}
 	for _, p := range peers {
 		if p.leaderAddress != "" && p.member.ID() != l.disk.Member() {
-			go l.join(p.leaderAddress, l.self().member)
+			go l.join(p.leaderAddress, l.ownStatus().member)
 			return
 		}
 	}
-	if l.mayFound(peers) {
-		l.found(now, peers)
+	if l.mayBootstrap(peers) {
+		l.bootstrap(now, peers)
 	}
 }
 
-// mayFound reports whether all founders answered, none has a log, and this one is the first of them.
-func (l *Log) mayFound(peers []peer) bool {
+// mayBootstrap reports whether all founders answered, none belongs to a log, and this instance has the lowest name among them.
+func (l *Log) mayBootstrap(peers []peerStatus) bool {
 	if l.config.Seeded {
-		return l.mayFoundFromSeeds(peers)
+		return l.mayBootstrapFromSeeds(peers)
 	}
 	if len(peers) != len(l.config.Peers) {
 		return false
@@ -123,11 +123,11 @@
 	return l.machine.Cluster() == ""
 }
 
-// mayFoundFromSeeds reports whether all seeds answered that they may found a log and have none, and this one is the first
-// of them by address. An instance that lost its disk may not, so a log is never founded beside another.
-func (l *Log) mayFoundFromSeeds(peers []peer) bool {
+// mayBootstrapFromSeeds reports whether all seeds answered that they may found a log and belong to none, and this instance has
+// the lowest address among them. An instance that lost its disk is not a founder, so that no second log is founded.
+func (l *Log) mayBootstrapFromSeeds(peers []peerStatus) bool {
 	seeds := figpier.NewSet(l.seeds.Seeds()...)
-	founders := l.fromSeeds(peers)
+	founders := l.seedPeers(peers)
 	if !seeds.Has(l.config.Address) || len(founders) != len(seeds.Values()) {
 		return false
 	}
@@ -139,17 +139,18 @@
 	return l.machine.Cluster() == ""
 }
 
-// fromSeeds returns the control instances that are at the address of a seed.
-func (l *Log) fromSeeds(peers []peer) []peer {
+// seedPeers returns the peers whose address is that of a seed.
+func (l *Log) seedPeers(peers []peerStatus) []peerStatus {
 	seeds := figpier.NewSet(l.seeds.Seeds()...)
-	return slices.DeleteFunc(slices.Clone(peers), func(p peer) bool { return !seeds.Has(p.member.Address()) })
+	return slices.DeleteFunc(slices.Clone(peers), func(p peerStatus) bool { return !seeds.Has(p.member.Address()) })
 }
 
-func (l *Log) found(now time.Time, peers []peer) {
+// bootstrap founds a log with the peers as voters and the state machine's current state as the first snapshot.
+func (l *Log) bootstrap(now time.Time, peers []peerStatus) {
 	if l.config.Seeded {
-		peers = l.fromSeeds(peers)
+		peers = l.seedPeers(peers)
 	}
-	data, err := l.states.Snapshot()
+	data, err := l.stateMachine.Snapshot()
 	if err != nil {
 		l.fail(err)
 		return
@@ -160,7 +161,7 @@
 		c.Voter = true
 		founders = append(founders, decision.NewMember(c))
 	}
-	cluster := rand.Text()[:incarnationLetters]
+	cluster := rand.Text()[:incarnationLength]
 	l.machine.Found(now, cluster, decision.NewMembers(founders...), data)
-	l.log.WithField("cluster", cluster).Warn("founded a new log, as all founders are new")
+	l.log.WithField("cluster", cluster).Warn("founded a new replicated log: all founders answered and none had one")
 }
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -10,23 +10,23 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// proposal is a command on its way through the log.
+// proposal is a command that waits to be committed and applied.
 type proposal struct {
-	event
-	name    string
+	baseEvent
+	id      string
 	command []byte
 	answer  chan result
-	// sent is the term in which the command went to a leader, 0 before.
-	sent uint64
+	// sentInTerm is the term in which the command was sent to a leader, 0 before that.
+	sentInTerm uint64
 }
 
-// result is a proposer's answer.
+// result is the state machine's answer to a proposal, or the reason why there is none.
 type result struct {
 	answer any
 	err    error
 }
 
-// finish answers the proposer, once.
+// finish answers the proposer; later calls do nothing.
 func (p *proposal) finish(answer any, err error) {
 	select {
 	case p.answer <- result{answer: answer, err: err}:
@@ -34,27 +34,27 @@
 	}
 }
 
-// expired ends the wait for a leader of one proposal, or the interest in it.
-type expired struct {
-	event
-	name      string
+// proposalExpired reports that a proposal's wait for a leader is over. With abandoned set, the proposer has stopped waiting, and the proposal ends even if it was sent.
+type proposalExpired struct {
+	baseEvent
+	id        string
 	abandoned bool
 }
 
-// forwarded brings the leader's verdict on a proposal that this instance passed on.
-type forwarded struct {
-	event
-	name    string
+// forwardFinished carries the leader's verdict on a forwarded proposal, or the error of the request.
+type forwardFinished struct {
+	baseEvent
+	id      string
 	verdict message.ReplicaVerdict
 	err     error
 }
 
-// Propose implements figpier.ReplicatedLog; an instance that does not lead passes the command on to the leader.
+// Propose implements figpier.ReplicatedLog; an instance that does not lead forwards the command to the leader.
 func (l *Log) Propose(ctx context.Context, command []byte) (answer any, err error) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	p := &proposal{
-		name:    uuid.NewString(),
+		id:      uuid.NewString(),
 		command: command,
 		answer:  make(chan result, 1),
 	}
@@ -65,84 +65,85 @@
 	case r := <-p.answer:
 		return r.answer, r.err
 	case <-ctx.Done():
-		_ = l.control.Post(expired{name: p.name, abandoned: true})
+		_ = l.control.Post(proposalExpired{id: p.id, abandoned: true})
 		return nil, figpier.NewOutcomeUnknownError("")
-	case <-l.work.Done():
+	case <-l.runContext.Done():
 		return nil, figpier.NewOutcomeUnknownError("")
 	}
 }
 
 func (l *Log) onProposal(p *proposal) {
-	l.proposals[p.name] = p
-	l.control.PostAfter(leaderWait, expired{name: p.name})
+	l.proposals[p.id] = p
+	l.control.PostAfter(leaderWaitTimeout, proposalExpired{id: p.id})
 }
 
-// onExpired gives a proposal up that found no leader in time, or that nobody waits for.
-func (l *Log) onExpired(e expired) {
-	p, ok := l.proposals[e.name]
-	if !ok || p.sent != 0 && !e.abandoned {
+// onProposalExpired gives up a proposal that could not be sent to a leader in time, or whose proposer has stopped waiting.
+func (l *Log) onProposalExpired(e proposalExpired) {
+	p, ok := l.proposals[e.id]
+	if !ok || p.sentInTerm != 0 && !e.abandoned {
 		return
 	}
-	l.finish(e.name, nil, figpier.NewNotLeaderError(l.machine.Leader()))
+	l.finishProposal(e.id, nil, figpier.NewNotLeaderError(l.machine.Leader()))
 }
 
-// settleProposals gives proposals up whose leader is gone and sends those that wait for one.
-func (l *Log) settleProposals(now time.Time) {
-	lost := l.machine.Term() != l.term
+// updateProposals gives up sent proposals when the term has changed or the leader is unknown, and sends those that wait for a leader.
+func (l *Log) updateProposals(now time.Time) {
+	termChanged := l.machine.Term() != l.term
 	l.term = l.machine.Term()
-	for name, p := range l.proposals {
-		if p.sent != 0 && (lost || l.machine.Leader() == "") {
-			l.finish(name, nil, figpier.NewOutcomeUnknownError(""))
+	for id, p := range l.proposals {
+		if p.sentInTerm != 0 && (termChanged || l.machine.Leader() == "") {
+			l.finishProposal(id, nil, figpier.NewOutcomeUnknownError(""))
 		}
 	}
 	for _, p := range l.proposals {
-		if p.sent == 0 {
-			l.pass(now, p)
+		if p.sentInTerm == 0 {
+			l.sendToLeader(now, p)
 		}
 	}
 }
 
-// pass gives a proposal to the leader, if one is known.
-func (l *Log) pass(now time.Time, p *proposal) {
+// sendToLeader appends a proposal if this member leads, and otherwise forwards it to the leader, if one is known.
+func (l *Log) sendToLeader(now time.Time, p *proposal) {
 	if l.machine.Leading() {
-		p.sent = l.machine.Term()
-		if err := l.machine.Propose(now, p.name, p.command); err != nil {
-			l.finish(p.name, nil, err)
+		p.sentInTerm = l.machine.Term()
+		if err := l.machine.Propose(now, p.id, p.command); err != nil {
+			l.finishProposal(p.id, nil, err)
 			return
 		}
-		l.process(now)
+		l.processEffects(now)
 		return
 	}
 	if address := l.machine.LeaderAddress(); address != "" {
-		p.sent = l.machine.Term()
-		go l.forward(address, p.name, p.command)
+		p.sentInTerm = l.machine.Term()
+		go l.forward(address, p.id, p.command)
 	}
 }
 
-func (l *Log) finish(name string, answer any, err error) {
-	p, ok := l.proposals[name]
+// finishProposal removes a proposal and answers its proposer; it ignores an id that is not pending here.
+func (l *Log) finishProposal(id string, answer any, err error) {
+	p, ok := l.proposals[id]
 	if !ok {
 		return
 	}
-	delete(l.proposals, name)
+	delete(l.proposals, id)
 	p.finish(answer, err)
 }
 
-// loseProposals answers all proposers that the outcome is unknown.
-func (l *Log) loseProposals() {
-	for name := range l.proposals {
-		l.finish(name, nil, figpier.NewOutcomeUnknownError(""))
+// abandonProposals gives up all proposals with an unknown outcome.
+func (l *Log) abandonProposals() {
+	for id := range l.proposals {
+		l.finishProposal(id, nil, figpier.NewOutcomeUnknownError(""))
 	}
 }
 
-// onForwarded keeps a proposal waiting that the leader took, and one for the next leader that it did not.
-func (l *Log) onForwarded(f forwarded) {
-	p, ok := l.proposals[f.name]
+// onForwardFinished leaves an accepted proposal waiting to be applied here. A refused one ends with a NotLeaderError, and a failed request with an unknown outcome.
+func (l *Log) onForwardFinished(f forwardFinished) {
+	p, ok := l.proposals[f.id]
 	switch {
 	case !ok || f.err == nil && f.verdict.Taken:
 	case f.err != nil:
-		l.finish(f.name, nil, figpier.NewOutcomeUnknownError(""))
+		l.finishProposal(f.id, nil, figpier.NewOutcomeUnknownError(""))
 	default:
-		l.finish(p.name, nil, figpier.NewNotLeaderError(figpier.InstanceID(f.verdict.Leader)))
+		l.finishProposal(p.id, nil, figpier.NewNotLeaderError(figpier.InstanceID(f.verdict.Leader)))
 	}
 }
--- a/internal/control/replica/remote.go
+++ b/internal/control/replica/remote.go
@@ -11,16 +11,16 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// handleMessages takes the messages of other control instances.
-func (l *Log) handleMessages() {
-	l.messenger.Handle(figpier.MethodReplica, l.receive)
+// registerHandlers registers the handlers of messages from other control instances.
+func (l *Log) registerHandlers() {
+	l.messenger.Handle(figpier.MethodReplica, l.receiveMessage)
 	l.messenger.Handle(figpier.MethodPropose, l.receiveProposal)
 	l.messenger.Handle(figpier.MethodProbe, l.receiveProbe)
 	l.messenger.Handle(figpier.MethodJoin, l.receiveJoin)
 	l.messenger.Handle(figpier.MethodRemove, l.receiveRemoval)
 }
 
-func (l *Log) receive(_ context.Context, decode figpier.Decode) (any, error) {
+func (l *Log) receiveMessage(_ context.Context, decode figpier.Decode) (any, error) {
 	var w message.ReplicaMessage
 	if err := decode(&w); err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return message.ReplicaReceived{}, l.control.Post(arrived{message: m})
+	return message.ReplicaReceived{}, l.control.Post(messageReceived{message: m})
 }
 
 func (l *Log) receiveProposal(ctx context.Context, decode figpier.Decode) (any, error) {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return l.request(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
 		return m.Propose(now, w.Proposal, command)
 	})
 }
@@ -51,7 +51,7 @@
 	if err := decode(&w); err != nil {
 		return nil, err
 	}
-	return l.request(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
 		return m.Join(now, codec.ToReplicaMember(w))
 	})
 }
@@ -61,21 +61,21 @@
 	if err := decode(&w); err != nil {
 		return nil, err
 	}
-	return l.request(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
 		return m.Remove(now, figpier.InstanceID(w.Instance))
 	})
 }
 
-// request has the control thread ask this member for a change.
-func (l *Log) request(ctx context.Context, do func(m *decision.Machine, now time.Time) error) (any, error) {
-	r := request{do: do, verdict: make(chan verdict, 1)}
+// runRequest runs a function on the control thread and returns this member's verdict.
+func (l *Log) runRequest(ctx context.Context, run func(m *decision.Machine, now time.Time) error) (any, error) {
+	r := memberRequest{run: run, verdict: make(chan verdict, 1)}
 	if err := l.control.Post(r); err != nil {
 		return nil, err
 	}
 	select {
 	case v := <-r.verdict:
 		return &message.ReplicaVerdict{
-			Taken:   v.taken,
+			Taken:   v.accepted,
 			Leader:  string(v.leader),
 			Address: v.address,
 			Detail:  v.detail,
@@ -86,7 +86,7 @@
 }
 
 func (l *Log) receiveProbe(ctx context.Context, _ figpier.Decode) (any, error) {
-	q := question{answer: make(chan peer, 1)}
+	q := statusRequest{answer: make(chan peerStatus, 1)}
 	if err := l.control.Post(q); err != nil {
 		return nil, err
 	}
@@ -103,28 +103,28 @@
 	}
 }
 
-// forward passes a proposal on to the leader.
-func (l *Log) forward(address, name string, command []byte) {
-	ctx, cancel := context.WithTimeout(l.work, askTimeout)
+// forward sends a proposal to the leader and posts the outcome.
+func (l *Log) forward(address, id string, command []byte) {
+	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
-	f := forwarded{name: name}
+	f := forwardFinished{id: id}
 	w := message.ReplicaProposal{
-		Proposal: name,
+		Proposal: id,
 		Command:  base64.StdEncoding.EncodeToString(command),
 	}
 	f.err = l.messenger.Ask(ctx, address, figpier.MethodPropose, w, &f.verdict)
 	_ = l.control.Post(f)
 }
 
-// probe asks another control instance what it is.
-func (l *Log) probe(address string) (peer, error) {
-	ctx, cancel := context.WithTimeout(l.work, askTimeout)
+// probe asks another control instance for its status.
+func (l *Log) probe(address string) (peerStatus, error) {
+	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
 	var s message.ReplicaStatus
 	if err := l.messenger.Ask(ctx, address, figpier.MethodProbe, message.ReplicaProbe{}, &s); err != nil {
-		return peer{}, err
+		return peerStatus{}, err
 	}
-	return peer{
+	return peerStatus{
 		member:        codec.ToReplicaMember(s.Member),
 		cluster:       s.Cluster,
 		leaderAddress: s.LeaderAddress,
@@ -132,13 +132,13 @@
 	}, nil
 }
 
-// join asks the leader to take this member in; it is asked again until it has.
+// join asks the leader to add this member. It does not retry: discovery calls it again until the member has joined.
 func (l *Log) join(address string, m decision.Member) {
-	ctx, cancel := context.WithTimeout(l.work, askTimeout)
+	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
 	var v message.ReplicaVerdict
 	err := l.messenger.Ask(ctx, address, figpier.MethodJoin, codec.FromReplicaMember(m), &v)
 	if err == nil && !v.Taken {
-		l.log.WithField("detail", v.Detail).Warn("the leader did not take this instance in")
+		l.log.WithField("detail", v.Detail).Warn("the leader refused to add this instance to the replicated log")
 	}
 }
--- a/internal/control/replica/sender.go
+++ b/internal/control/replica/sender.go
@@ -10,39 +10,41 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// maxInFlight bounds the unanswered messages to one address; the protocol sends lost ones again.
+// maxInFlight limits the unanswered messages to one address. Messages beyond it are dropped; the protocol repeats lost messages.
 const maxInFlight = 16
 
-// sender sends messages to other members without waiting for them.
+// sender sends messages to other members, each on its own goroutine.
 type sender struct {
-	work      context.Context
+	ctx       context.Context
 	messenger figpier.Messenger
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// inFlight is the number of unanswered messages by address.
 	inFlight map[string]int
 }
 
-func newSender(work context.Context, m figpier.Messenger) *sender {
-	return &sender{work: work, messenger: m, inFlight: map[string]int{}}
+func newSender(ctx context.Context, m figpier.Messenger) *sender {
+	return &sender{ctx: ctx, messenger: m, inFlight: map[string]int{}}
 }
 
 func (s *sender) send(messages []*decision.Message) {
 	for _, m := range messages {
-		if s.begin(m.Address()) {
-			go s.ask(m)
+		if s.acquire(m.Address()) {
+			go s.deliver(m)
 		}
 	}
 }
 
-func (s *sender) ask(m *decision.Message) {
-	defer s.finish(m.Address())
-	ctx, cancel := context.WithTimeout(s.work, askTimeout)
+func (s *sender) deliver(m *decision.Message) {
+	defer s.release(m.Address())
+	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var received message.ReplicaReceived
 	_ = s.messenger.Ask(ctx, m.Address(), figpier.MethodReplica, codec.FromReplicaMessage(m), &received)
 }
 
-func (s *sender) begin(address string) bool {
+// acquire counts a message to an address, and returns false when too many are unanswered.
+func (s *sender) acquire(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inFlight[address] >= maxInFlight {
@@ -52,7 +54,7 @@
 	return true
 }
 
-func (s *sender) finish(address string) {
+func (s *sender) release(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight[address]--
--- a/internal/control/replica/service.go
+++ b/internal/control/replica/service.go
@@ -16,28 +16,28 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// Error is the class of failures of the replicated log.
+// Error is the error class of the replicated log.
 var Error = errs.Class("replicated log")
 
 const (
-	defaultHeartbeat = 100 * time.Millisecond
-	defaultElection  = 600 * time.Millisecond
-	learnerTimeout   = time.Minute
-	voterTimeout     = time.Second // several heartbeats, so that a lost one takes no voter out
-	joinInterval     = 500 * time.Millisecond
-	askTimeout       = 500 * time.Millisecond
-	leaderWait       = 2 * time.Second
-	proposalTimeout  = 10 * time.Second
-	resignTimeout    = time.Second
-	batchBytes       = 256 << 10
-	partBytes        = 64 << 10
-	trailingEntries  = 500
-	snapshotEntries  = 1000
-	// incarnationLetters hold 60 random bits; every message names two incarnations.
-	incarnationLetters = 12
+	defaultHeartbeat  = 100 * time.Millisecond
+	defaultElection   = 600 * time.Millisecond
+	learnerTimeout    = time.Minute
+	voterTimeout      = time.Second // several heartbeats, so that one lost heartbeat does not remove a voter
+	joinInterval      = 500 * time.Millisecond
+	requestTimeout    = 500 * time.Millisecond
+	leaderWaitTimeout = 2 * time.Second
+	proposalTimeout   = 10 * time.Second
+	handOverTimeout   = time.Second
+	appendBatchBytes  = 256 << 10
+	snapshotPartBytes = 64 << 10
+	trailingEntries   = 500  // kept in memory before the end of a snapshot, for followers that are behind
+	snapshotEntries   = 1000 // applied between two snapshots
+	// incarnationLength is in characters of 5 random bits. It is kept short because every message names two incarnations.
+	incarnationLength = 12
 )
 
-// PeerConfig names one control instance.
+// PeerConfig is the name and address of one control instance.
 type PeerConfig struct {
 	// Instance is the control instance's name.
 	Instance figpier.InstanceID
@@ -51,63 +51,70 @@
 	Instance figpier.InstanceID
 	// Address is this instance's IP address and port for messages.
 	Address string
-	// DataFolder holds the durable state.
+	// DataFolder is the path of the folder for the durable state.
 	DataFolder string
 	// Peers are the control instances that found the log, this one included; empty for this one alone.
 	Peers []PeerConfig
-	// Seeded says that the other control instances are found through the process's seeds, and that Peers is unused.
+	// Seeded makes the log find the other control instances through the process's seed source; Peers stays empty.
 	Seeded bool
 	// Founder says that this instance may take part in founding the log.
 	Founder bool
-	// Voters is the number of voters above which a silent one is taken out, 0 to keep all.
+	// Voters is the number of voters above which a silent one is removed, 0 to keep all.
 	Voters int
 	// Heartbeat is the time between two messages of a leader to a silent follower, 100 ms when 0.
 	Heartbeat time.Duration
 	// Election is the least time without a leader before an election, 600 ms when 0.
 	Election time.Duration
-	// Log takes the log lines, nil for none.
+	// Log is the logger, nil for no log lines.
 	Log *logrus.Entry
 }
 
-// status is what other threads may know of the member.
+// status is a copy of the member's state for other threads.
 type status struct {
-	leader  figpier.InstanceID
-	contact time.Time
+	leader figpier.InstanceID
+	// quorumContact is when a quorum is known to have followed the leader, zero for never.
+	quorumContact time.Time
+	// commit is the index of the last committed entry.
 	commit  uint64
 	leading bool
-	// voters is the number of members that count, 0 while this one does not.
+	// voters is the number of voters, 0 while this member has to join.
 	voters int
 	// peers are the addresses of the other members.
 	peers []string
 }
 
-// Log implements figpier.ReplicatedLog.
+// Log implements figpier.ReplicatedLog with one member that keeps its state in a data folder.
 type Log struct {
-	config    Config
-	log       *logrus.Entry
-	states    figpier.StateMachine
-	control   figpier.ControlThread
-	failing   func(error)
-	clock     figpier.Clock
-	messenger figpier.Messenger
-	work      context.Context
-	end       context.CancelFunc
-	disk      *disk.Disk
-	writer    *writer
-	sender    *sender
-	published atomic.Pointer[status]
-	seeds     figpier.SeedSource
-	resigned  chan struct{}
+	config       Config
+	log          *logrus.Entry
+	stateMachine figpier.StateMachine
+	control      figpier.ControlThread
+	failProcess  func(error)
+	clock        figpier.Clock
+	messenger    figpier.Messenger
+	runContext   context.Context
+	cancelRun    context.CancelFunc
+	disk         *disk.Disk
+	writer       *writer
+	sender       *sender
+	published    atomic.Pointer[status]
+	seeds        figpier.SeedSource
+	// handedOver is closed when a hand-over has ended.
+	handedOver chan struct{}
 
-	// The control thread owns the rest.
-	machine    *decision.Machine
-	writes     int
-	failed     bool
-	resigning  bool
-	counted    bool
+	// Only the control thread uses the fields below.
+	machine *decision.Machine
+	// pendingWrites is the number of effects that the writer has not yet reported as written.
+	pendingWrites int
+	failed        bool
+	handingOver   bool
+	// wasVoter says that this member has been a voter since the process started.
+	wasVoter bool
+	// term is the member's term after the last event.
 	term       uint64
 	cancelTick func()
-	proposals  map[string]*proposal
+	// proposals are this instance's unanswered proposals by id.
+	proposals map[string]*proposal
 }
 
 // New returns a log that has not started.
@@ -124,7 +131,7 @@
 	l := &Log{
 		config:     c,
 		log:        c.Log,
-		resigned:   make(chan struct{}),
+		handedOver: make(chan struct{}),
 		cancelTick: func() {},
 		proposals:  map[string]*proposal{},
 	}
@@ -141,15 +148,15 @@
 func (l *Log) Name() figpier.ServiceName { return figpier.ReplicaService }
 
 // Drive implements figpier.ReplicatedLog.
-func (l *Log) Drive(m figpier.StateMachine) { l.states = m }
+func (l *Log) Drive(m figpier.StateMachine) { l.stateMachine = m }
 
-// Start implements figpier.Service; it refuses a damaged data folder.
+// Start implements figpier.Service; it fails if the data folder is damaged, locked or belongs to another instance.
 func (l *Log) Start(ctx context.Context, d figpier.Directory) error {
 	m, err := figpier.FindMessenger(d)
 	if err != nil {
 		return err
 	}
-	l.messenger, l.control, l.clock, l.failing = m, d.Control(), d.Clock(), d.Fail
+	l.messenger, l.control, l.clock, l.failProcess = m, d.Control(), d.Clock(), d.Fail
 	if l.config.Seeded {
 		if l.seeds, err = figpier.FindSeedSource(d); err != nil {
 			return err
@@ -158,19 +165,19 @@
 	l.disk, err = disk.Open(disk.Config{
 		Folder:      l.config.DataFolder,
 		Instance:    l.config.Instance,
-		Incarnation: rand.Text()[:incarnationLetters],
+		Incarnation: rand.Text()[:incarnationLength],
 	})
 	if err != nil {
 		return err
 	}
-	l.reportFolder()
-	l.work, l.end = context.WithCancel(ctx)
+	l.logFolderState()
+	l.runContext, l.cancelRun = context.WithCancel(ctx)
 	l.machine = l.newMachine()
 	l.writer = newWriter(l.disk, l.control)
-	l.sender = newSender(l.work, l.messenger)
-	go l.writer.run(l.work)
-	l.handleMessages()
-	l.register(d)
+	l.sender = newSender(l.runContext, l.messenger)
+	go l.writer.run(l.runContext)
+	l.registerHandlers()
+	l.registerGauges(d)
 	return l.control.Post(started{})
 }
 
@@ -184,8 +191,8 @@
 		LearnerTimeout: learnerTimeout,
 		Voters:         l.config.Voters,
 		VoterTimeout:   voterTimeout,
-		BatchBytes:     batchBytes,
-		PartBytes:      partBytes,
+		BatchBytes:     appendBatchBytes,
+		PartBytes:      snapshotPartBytes,
 		Trailing:       trailingEntries,
 		Random:         random.New(seed),
 		Now:            l.clock.Now(),
@@ -195,18 +202,18 @@
 	})
 }
 
-func (l *Log) reportFolder() {
+func (l *Log) logFolderState() {
 	line := l.log.WithField("member", string(l.disk.Member()))
 	if l.disk.Fresh() {
-		line.Warn("the data folder is new: this instance is a new member and holds nothing yet")
+		line.Warn("the data folder is new: this instance starts as a new member without data")
 	}
-	if n := l.disk.Cut(); n > 0 {
-		line.WithField("bytes", n).Warn("dropped an unfinished write at the end of the log")
+	if n := l.disk.DroppedBytes(); n > 0 {
+		line.WithField("bytes", n).Warn("dropped an incomplete record at the end of the log")
 	}
 }
 
-// register publishes gauges where the process has counters.
-func (l *Log) register(d figpier.Directory) {
+// registerGauges registers the metrics of the log if the process has a counter service.
+func (l *Log) registerGauges(d figpier.Directory) {
 	c, err := figpier.FindCounters(d)
 	if err != nil {
 		return
@@ -228,28 +235,28 @@
 	})
 }
 
-// Stop implements figpier.Service; a leader hands over first.
+// Stop implements figpier.Service; a leader first transfers the leadership, for at most handOverTimeout.
 func (l *Log) Stop(ctx context.Context) error {
-	if l.published.Load().leading && l.control.Post(resign{}) == nil {
-		bounded, cancel := context.WithTimeout(ctx, resignTimeout)
+	if l.published.Load().leading && l.control.Post(handOver{}) == nil {
+		bounded, cancel := context.WithTimeout(ctx, handOverTimeout)
 		defer cancel()
 		select {
-		case <-l.resigned:
+		case <-l.handedOver:
 		case <-bounded.Done():
 		}
 	}
-	l.end()
+	l.cancelRun()
 	select {
 	case <-l.writer.done:
 		return l.disk.Close()
 	case <-ctx.Done():
-		return Error.New("the disk does not answer: %w", ctx.Err())
+		return Error.New("wait for the disk writer to stop: %w", ctx.Err())
 	}
 }
 
 // QuorumAge implements figpier.ReplicatedLog.
 func (l *Log) QuorumAge(now time.Time) time.Duration {
-	c := l.published.Load().contact
+	c := l.published.Load().quorumContact
 	if c.IsZero() {
 		return math.MaxInt64
 	}
--- a/internal/control/replica/service_test.go
+++ b/internal/control/replica/service_test.go
@@ -19,8 +19,8 @@
 	c := newCluster(t)
 	var last figpier.Revision
 	for n := range 300 {
-		last = c.accept(fmt.Sprint("edit-", n), c.instances[n%3])
-		c.eventually("the editor's next base is known", func() bool { return c.instances[(n+1)%3].revision() == last })
+		last = c.submitUntilAccepted(fmt.Sprint("edit-", n), c.instances[n%3])
+		c.eventually("the next instance has the revision", func() bool { return c.instances[(n+1)%3].revision() == last })
 	}
 	for _, restarted := range [][]int{{0}, {1, 2}, {0, 1, 2}} {
 		for _, n := range restarted {
@@ -29,86 +29,86 @@
 		for _, n := range restarted {
 			c.instances[n].start()
 		}
-		c.converge(last)
+		c.waitForRevision(last)
 		r, err := c.instances[0].submit("edit-299", 0)
 		assert.NilError(t, err)
 		assert.Equal(t, r.Revision(), last)
 	}
 }
 
-func TestIsolatedLeaderAnswersNothing(t *testing.T) {
+func TestIsolatedLeaderAcceptsNoEdits(t *testing.T) {
 	c := newCluster(t)
-	last := c.accept("first", c.instances[0])
-	c.converge(last)
-	old := c.leader()
+	last := c.submitUntilAccepted("first", c.instances[0])
+	c.waitForRevision(last)
+	old := c.waitForLeader()
 	c.network.isolate(string(old.name), true)
 	cut := time.Now()
 
 	var accepted figpier.Revision
 	for _, i := range c.instances {
 		if i != old {
-			accepted = c.accept("second", i)
+			accepted = c.submitUntilAccepted("second", i)
 		}
 	}
 	_, err := old.submit("third", last)
-	unknown, leaderless := &figpier.OutcomeUnknownError{}, &figpier.NotLeaderError{}
-	assert.Assert(t, errors.As(err, &unknown) || errors.As(err, &leaderless), "%v", err)
+	unknown, notLeader := &figpier.OutcomeUnknownError{}, &figpier.NotLeaderError{}
+	assert.Assert(t, errors.As(err, &unknown) || errors.As(err, &notLeader), "%v", err)
 	assert.Assert(t, old.log.QuorumAge(time.Now()) >= time.Since(cut))
 	assert.Equal(t, old.revision(), last)
 
 	c.network.isolate(string(old.name), false)
-	c.converge(accepted)
+	c.waitForRevision(accepted)
 }
 
 func TestResendAfterALostAnswerGetsTheFirstOne(t *testing.T) {
 	c := newCluster(t)
-	first := c.accept("first", c.instances[0])
-	c.converge(first)
+	first := c.submitUntilAccepted("first", c.instances[0])
+	c.waitForRevision(first)
 	asking, other := c.instances[0], c.instances[1]
-	if lead := c.leader(); lead == asking {
+	if lead := c.waitForLeader(); lead == asking {
 		asking, other = other, asking
 	}
-	c.network.doom(string(asking.name))
+	c.network.isolateAfterProposal(string(asking.name))
 	_, err := asking.submit("second", first)
 	unknown := &figpier.OutcomeUnknownError{}
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 	assert.ErrorContains(t, err, "second")
 	c.eventually("the edit is accepted", func() bool { return other.revision() > first })
 
-	c.network.doom("")
+	c.network.isolateAfterProposal("")
 	c.network.isolate(string(asking.name), false)
-	c.converge(other.revision())
+	c.waitForRevision(other.revision())
 	r, err := asking.submit("second", first)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Revision(), other.revision())
 	_, err = other.submit("third", first)
-	lost := &figpier.ConflictError{}
-	assert.Assert(t, errors.As(err, &lost))
-	assert.Equal(t, lost.Current(), r.Revision())
+	conflictErr := &figpier.ConflictError{}
+	assert.Assert(t, errors.As(err, &conflictErr))
+	assert.Equal(t, conflictErr.Current(), r.Revision())
 	_, err = other.submit("third", r.Revision())
-	assert.Assert(t, errors.As(err, &lost), "a resend of a refused edit gets the first answer")
+	assert.Assert(t, errors.As(err, &conflictErr), "a resend of a refused edit did not get the first answer")
 }
 
-func TestSecondLostDiskAfterARepairLosesNothing(t *testing.T) {
+func TestLosingEachDiskInTurnKeepsEdits(t *testing.T) {
 	c := newCluster(t)
 	var last figpier.Revision
 	for n := range 5 {
-		last = c.accept(fmt.Sprint("edit-", n), c.instances[0])
+		last = c.submitUntilAccepted(fmt.Sprint("edit-", n), c.instances[0])
 	}
-	c.converge(last)
+	c.waitForRevision(last)
 	for _, n := range []int{2, 0, 1} {
 		c.instances[n].loseDisk()
-		c.repaired(c.instances[n])
-		c.converge(last)
+		c.waitUntilVoter(c.instances[n])
+		c.waitForRevision(last)
 	}
-	next := c.accept("after", c.instances[1])
+	next := c.submitUntilAccepted("after", c.instances[1])
 	assert.Assert(t, next > last)
-	c.converge(next)
+	c.waitForRevision(next)
 }
 
 func TestDamagedLogIsRefused(t *testing.T) {
 	c := newCluster(t)
-	c.converge(c.accept("first", c.instances[0]))
+	c.waitForRevision(c.submitUntilAccepted("first", c.instances[0]))
 	i := c.instances[1]
 	i.stop()
 	paths, err := filepath.Glob(filepath.Join(i.folder, "log-*"))
@@ -126,15 +126,15 @@
 
 func TestProposalWithoutALeaderIsRefused(t *testing.T) {
 	c := newCluster(t)
-	c.converge(c.accept("first", c.instances[0]))
+	c.waitForRevision(c.submitUntilAccepted("first", c.instances[0]))
 	for _, i := range c.instances[1:] {
 		c.network.isolate(string(i.name), true)
 	}
 	alone := c.instances[0]
 	c.eventually("the leader is gone", func() bool { return alone.log.Leader() == "" })
 	_, err := alone.submit("second", alone.revision())
-	leaderless := &figpier.NotLeaderError{}
-	assert.Assert(t, errors.As(err, &leaderless), "%v", err)
+	notLeader := &figpier.NotLeaderError{}
+	assert.Assert(t, errors.As(err, &notLeader), "%v", err)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/control/replica/writer.go
+++ b/internal/control/replica/writer.go
@@ -9,12 +9,14 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// writer makes effects durable in order, all that wait in one write.
+// writer makes effects durable in order on its own goroutine; all that are queued share one write.
 type writer struct {
 	disk    *disk.Disk
 	control figpier.ControlThread
-	wake    chan struct{}
-	done    chan struct{}
+	// wake holds a value while the queue may have entries.
+	wake chan struct{}
+	// done is closed when run has returned.
+	done chan struct{}
 
 	mu    sync.Mutex
 	queue []*decision.Effects
@@ -29,7 +31,7 @@
 	}
 }
 
-func (w *writer) add(e *decision.Effects) {
+func (w *writer) enqueue(e *decision.Effects) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue = append(w.queue, e)
@@ -57,5 +59,5 @@
 	w.queue = nil
 	w.mu.Unlock()
 	err := w.disk.Write(batch)
-	_ = w.control.Post(written{effects: batch, err: err})
+	_ = w.control.Post(writesFinished{effects: batch, err: err})
 }
