--- a/internal/control/catalog/answer.go
+++ b/internal/control/catalog/answer.go
@@ -12,26 +12,27 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Outcomes of an edit in a snapshot.
+// Outcomes of an edit as stored in a snapshot.
 const (
 	outcomeAccepted = "accepted"
 	outcomeConflict = "conflict"
 	outcomeInvalid  = "invalid"
 )
 
-// answer is the remembered answer to one edit: a receipt or an error.
-type answer struct {
+// recordedAnswer is the stored answer to one edit, a receipt or an error, for resends of the edit.
+type recordedAnswer struct {
 	operation figpier.OperationID
-	subject   string
-	receipt   *figpier.Receipt
-	err       error
+	// fingerprint identifies the edit; it is the Subject of the stored form.
+	fingerprint string
+	receipt     *figpier.Receipt
+	err         error
 }
 
-// subjectOf tells edits apart that are not resends of one another; a resend may carry a newer base revision, and a key's new name and secret.
-func subjectOf(e *figpier.Edit) string {
+// fingerprintOf returns a text that is the same for an edit and its resends. It leaves out what a resend may change: the base revision, and the id and secret of a new key.
+func fingerprintOf(e *figpier.Edit) string {
 	switch e.Kind() {
 	case figpier.EditApplyProfile:
-		return fmt.Sprintf("%s %016x", e.Kind(), digestOf(e.Profile().WithRevision(0)))
+		return fmt.Sprintf("%s %016x", e.Kind(), profileDigest(e.Profile().WithRevision(0)))
 	case figpier.EditReplaceTable:
 		return fmt.Sprintf("%s %d %016x", e.Kind(), e.Table().Number(), xxh3.Hash(e.Table().Document()))
 	case figpier.EditGiveKey:
@@ -40,7 +41,8 @@
 	return fmt.Sprintf("%s %q %q %q", e.Kind(), e.ProfileName(), e.Service(), e.KeyID())
 }
 
-func digestOf(p *figpier.Profile) uint64 {
+// profileDigest returns a hash of a profile's encoding, 0 if it cannot be encoded.
+func profileDigest(p *figpier.Profile) uint64 {
 	text, err := json.Marshal(codec.FromProfile(p))
 	if err != nil {
 		return 0
@@ -48,16 +50,16 @@
 	return xxh3.Hash(text)
 }
 
-// again answers a resend, or refuses another edit under the same operation id.
-func (a *answer) again(subject string) (*figpier.Receipt, error) {
-	if a.subject != subject {
-		return nil, figpier.NewInvalidEditError(fmt.Sprintf("operation id %q was used for another edit: take a new one", a.operation))
+// replay answers a resend, or returns an InvalidEditError for a different edit under the same operation id.
+func (a *recordedAnswer) replay(fingerprint string) (*figpier.Receipt, error) {
+	if a.fingerprint != fingerprint {
+		return nil, figpier.NewInvalidEditError(fmt.Sprintf("operation id %q was used for another edit: use a new one", a.operation))
 	}
 	return a.receipt, a.err
 }
 
-func fromAnswer(a *answer) message.EditAnswer {
-	m := message.EditAnswer{Operation: string(a.operation), Subject: a.subject}
+func encodeAnswer(a *recordedAnswer) message.EditAnswer {
+	m := message.EditAnswer{Operation: string(a.operation), Subject: a.fingerprint}
 	conflict := (*figpier.ConflictError)(nil)
 	switch {
 	case a.receipt != nil:
@@ -74,8 +76,8 @@
 	return m
 }
 
-func toAnswer(m message.EditAnswer) (*answer, error) {
-	a := &answer{operation: figpier.OperationID(m.Operation), subject: m.Subject}
+func decodeAnswer(m message.EditAnswer) (*recordedAnswer, error) {
+	a := &recordedAnswer{operation: figpier.OperationID(m.Operation), fingerprint: m.Subject}
 	switch m.Outcome {
 	case outcomeAccepted:
 		a.receipt = figpier.NewReceipt(figpier.ReceiptConfig{
--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -15,13 +15,15 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures to read the catalog's own records.
+// Error is the error class of edits and snapshots that cannot be encoded or decoded.
 var Error = errs.Class("catalog")
 
-// Catalog implements figpier.Catalog on a replicated log.
+// Catalog implements figpier.Catalog and figpier.StateMachine on a replicated log.
 type Catalog struct {
-	log       figpier.ReplicatedLog
-	state     *state
+	log figpier.ReplicatedLog
+	// state is used only by the thread that applies the log.
+	state *state
+	// published is the newest configuration for other threads.
 	published atomic.Pointer[figpier.Configuration]
 
 	mu          sync.Mutex
@@ -61,15 +63,15 @@
 	c.subscribers = append(c.subscribers, f)
 }
 
-// verdict is the state machine's answer to one edit.
-type verdict struct {
+// editResult is the state machine's answer to one edit.
+type editResult struct {
 	receipt *figpier.Receipt
 	err     error
 }
 
-// Submit implements figpier.Catalog.
+// Submit implements figpier.Catalog; on success the edit is applied on this instance when it returns.
 func (c *Catalog) Submit(ctx context.Context, e *figpier.Edit) (*figpier.Receipt, error) {
-	if err := check(e); err != nil {
+	if err := validate(e); err != nil {
 		return nil, err
 	}
 	command, err := json.Marshal(codec.FromEdit(e))
@@ -83,14 +85,14 @@
 	if err != nil {
 		return nil, err
 	}
-	v, ok := answer.(verdict)
+	v, ok := answer.(editResult)
 	if !ok {
 		return nil, figpier.NewOutcomeUnknownError(e.Operation())
 	}
 	return v.receipt, v.err
 }
 
-func check(e *figpier.Edit) error {
+func validate(e *figpier.Edit) error {
 	switch {
 	case e.Operation() == "":
 		return figpier.NewInvalidEditError("the edit has no operation id")
@@ -108,17 +110,17 @@
 func (c *Catalog) Apply(index uint64, command []byte) (answer any) {
 	var m message.Edit
 	if err := json.Unmarshal(command, &m); err != nil {
-		return verdict{err: figpier.NewInvalidEditError(fmt.Sprintf("record %d: %v", index, err))}
+		return editResult{err: figpier.NewInvalidEditError(fmt.Sprintf("record %d: %v", index, err))}
 	}
 	e, err := codec.ToEdit(m)
 	if err != nil {
-		return verdict{err: figpier.NewInvalidEditError(fmt.Sprintf("record %d: %v", index, err))}
+		return editResult{err: figpier.NewInvalidEditError(fmt.Sprintf("record %d: %v", index, err))}
 	}
-	r, err := c.state.edit(e)
+	r, err := c.state.apply(e)
 	if err == nil {
 		c.publish()
 	}
-	return verdict{receipt: r, err: err}
+	return editResult{receipt: r, err: err}
 }
 
 // Snapshot implements figpier.StateMachine.
@@ -128,7 +130,7 @@
 		Answers:       []message.EditAnswer{},
 	}
 	for _, o := range c.state.order {
-		m.Answers = append(m.Answers, fromAnswer(c.state.answers[o]))
+		m.Answers = append(m.Answers, encodeAnswer(c.state.answers[o]))
 	}
 	data, err := json.Marshal(m)
 	return data, Error.Wrap(err)
@@ -147,11 +149,11 @@
 	s := newState()
 	s.configuration = configuration
 	for _, w := range m.Answers {
-		a, err := toAnswer(w)
+		a, err := decodeAnswer(w)
 		if err != nil {
 			return err
 		}
-		s.remember(a)
+		s.recordAnswer(a)
 	}
 	c.state = s
 	c.publish()
--- a/internal/control/catalog/doc.go
+++ b/internal/control/catalog/doc.go
@@ -1,2 +1,2 @@
-// Package catalog is the state machine of the operators' edits: profiles, assignments and keys.
+// Package catalog implements the replicated state machine of the operators' edits: profiles, assignments, keys and the routing table.
 package catalog
--- a/internal/control/catalog/state.go
+++ b/internal/control/catalog/state.go
@@ -6,33 +6,34 @@
 	"github.com/figpier/figpier"
 )
 
-// maxAnswers is the number of operations whose answers are remembered for resends.
+// maxAnswers is the number of recent operations whose answers are stored for resends.
 const maxAnswers = 4096
 
 // state is the accepted configuration with the answers to recent operations.
 type state struct {
 	configuration *figpier.Configuration
-	answers       map[figpier.OperationID]*answer
-	order         []figpier.OperationID
+	answers       map[figpier.OperationID]*recordedAnswer
+	// order holds the keys of answers, oldest first.
+	order []figpier.OperationID
 }
 
 func newState() *state {
 	return &state{
 		configuration: figpier.NewConfiguration(figpier.NewConfiguration(figpier.ConfigurationConfig{}).Clone()),
-		answers:       map[figpier.OperationID]*answer{},
+		answers:       map[figpier.OperationID]*recordedAnswer{},
 	}
 }
 
-// edit answers an edit; one that is refused changes nothing, and a resend gets the first answer.
-func (s *state) edit(e *figpier.Edit) (*figpier.Receipt, error) {
-	subject := subjectOf(e)
+// apply applies an edit and records the answer. A refused edit changes nothing, and a resend gets the first answer.
+func (s *state) apply(e *figpier.Edit) (*figpier.Receipt, error) {
+	fingerprint := fingerprintOf(e)
 	if a, ok := s.answers[e.Operation()]; ok {
-		return a.again(subject)
+		return a.replay(fingerprint)
 	}
 	next := s.configuration.Clone()
-	keyID, err := change(&next, e)
+	keyID, err := applyEdit(&next, e)
 	if err != nil {
-		s.remember(&answer{operation: e.Operation(), subject: subject, err: err})
+		s.recordAnswer(&recordedAnswer{operation: e.Operation(), fingerprint: fingerprint, err: err})
 		return nil, err
 	}
 	s.configuration = figpier.NewConfiguration(next)
@@ -41,11 +42,11 @@
 		Revision:  next.Revision,
 		KeyID:     keyID,
 	})
-	s.remember(&answer{operation: e.Operation(), subject: subject, receipt: r})
+	s.recordAnswer(&recordedAnswer{operation: e.Operation(), fingerprint: fingerprint, receipt: r})
 	return r, nil
 }
 
-func (s *state) remember(a *answer) {
+func (s *state) recordAnswer(a *recordedAnswer) {
 	s.answers[a.operation] = a
 	s.order = append(s.order, a.operation)
 	if len(s.order) > maxAnswers {
@@ -54,14 +55,15 @@
 	}
 }
 
-func change(next *figpier.ConfigurationConfig, e *figpier.Edit) (keyID string, err error) {
+// applyEdit changes next as an edit asks, and returns the id of the key that the edit concerns, if any. On an error next is to be discarded.
+func applyEdit(next *figpier.ConfigurationConfig, e *figpier.Edit) (keyID string, err error) {
 	switch e.Kind() {
 	case figpier.EditApplyProfile:
 		return "", applyProfile(next, e)
 	case figpier.EditDeleteProfile:
 		return "", deleteProfile(next, e)
 	case figpier.EditAssign:
-		return "", assign(next, e)
+		return "", assignProfile(next, e)
 	case figpier.EditGiveKey:
 		return e.Key().ID(), giveKey(next, e)
 	case figpier.EditWithdrawKey:
@@ -103,7 +105,7 @@
 	return nil
 }
 
-func assign(next *figpier.ConfigurationConfig, e *figpier.Edit) error {
+func assignProfile(next *figpier.ConfigurationConfig, e *figpier.Edit) error {
 	var current figpier.Revision
 	if old, ok := next.Assignments[e.Service()]; ok {
 		current = old.Revision()
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// replaceTable puts a routing table in the place of the one whose number is the edit's base.
+// replaceTable replaces the routing table if the edit's base is the number of the current one.
 func replaceTable(next *figpier.ConfigurationConfig, e *figpier.Edit) error {
 	var current uint64
 	if next.Table != nil {
@@ -132,7 +134,7 @@
 		return figpier.NewConflictError(figpier.Revision(current))
 	}
 	if e.Table().Number() <= current {
-		return figpier.NewInvalidEditError(fmt.Sprintf("routing table %d is not above the one in force, %d", e.Table().Number(), current))
+		return figpier.NewInvalidEditError(fmt.Sprintf("routing table number %d is not above the current number %d", e.Table().Number(), current))
 	}
 	c := e.Table().Config()
 	c.Revision = next.Revision
--- a/internal/control/exchange/doc.go
+++ b/internal/control/exchange/doc.go
@@ -1,2 +1,2 @@
-// Package exchange shares the members between the control instances.
+// Package exchange copies the registries' members between the control instances by long polls.
 package exchange
--- a/internal/control/exchange/exchange.go
+++ b/internal/control/exchange/exchange.go
@@ -14,19 +14,19 @@
 
 // Config builds an Exchange.
 type Config struct {
-	// Place is where this control instance runs and takes messages.
+	// Place is this control instance's address, data centre and region.
 	Place figpier.ControlPlace
-	// PollWait is how long a poll without news is held.
+	// PollWait is how long a poll is held while there is no change, and the time between two checks of the log's members.
 	PollWait time.Duration
-	// AskTimeout is how long an unanswered poll lasts.
+	// AskTimeout is how long after PollWait an unanswered poll fails.
 	AskTimeout time.Duration
 	// RetryPause is the pause after a poll that failed.
 	RetryPause time.Duration
-	// Silence is how long the members of a silent control instance are kept.
+	// Silence is how long the members of a control instance that does not answer are kept.
 	Silence time.Duration
 }
 
-// Exchange is the service that follows the members of the other control instances and tells its own.
+// Exchange is the service that polls the other control instances for their members and answers their polls.
 type Exchange struct {
 	config    Config
 	clock     figpier.Clock
@@ -34,7 +34,8 @@
 	registry  figpier.Registry
 	messenger figpier.Messenger
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// places are the places of the other control instances that answer, by address.
 	places map[string]figpier.ControlPlace
 }
 
@@ -56,15 +57,17 @@
 	if x.log, err = figpier.FindLog(d); err != nil {
 		return err
 	}
-	x.messenger.Handle(figpier.MethodMembers, x.answer)
-	go x.followAll(ctx)
+	x.messenger.Handle(figpier.MethodMembers, x.handlePoll)
+	go x.followPeers(ctx)
 	return nil
 }
 
 // Stop implements figpier.Service.
 func (x *Exchange) Stop(context.Context) error { return nil }
 
-func (x *Exchange) answer(ctx context.Context, decode figpier.Decode) (any, error) {
+// handlePoll answers with this instance's local members that changed since the poll's version, or with all of them if
+// the poll names another registry. Without a change it waits up to PollWait for one.
+func (x *Exchange) handlePoll(ctx context.Context, decode figpier.Decode) (any, error) {
 	var p message.MembersPoll
 	if err := decode(&p); err != nil {
 		return nil, err
@@ -75,7 +78,7 @@
 	}
 	d := x.registry.LocalSince(uint64(p.MemberVersion))
 	if !full && d.Version() == uint64(p.MemberVersion) {
-		x.pause(ctx, min(time.Duration(p.WaitMillis)*time.Millisecond, x.config.PollWait), d.Changed())
+		x.waitForChange(ctx, min(time.Duration(p.WaitMillis)*time.Millisecond, x.config.PollWait), d.Changed())
 		d = x.registry.LocalSince(uint64(p.MemberVersion))
 	}
 	a := &message.MembersAnswer{
@@ -89,8 +92,8 @@
 	return a, nil
 }
 
-// pause waits for a time, for a change or for the end of the context.
-func (x *Exchange) pause(ctx context.Context, d time.Duration, changed <-chan struct{}) {
+// waitForChange waits for a time, for a change or for the end of the context.
+func (x *Exchange) waitForChange(ctx context.Context, d time.Duration, changed <-chan struct{}) {
 	over := make(chan struct{})
 	cancel := x.clock.AfterFunc(d, func() { close(over) })
 	defer cancel()
@@ -113,8 +116,8 @@
 	return all
 }
 
-// followAll follows each other member of the log for as long as it is one.
-func (x *Exchange) followAll(ctx context.Context) {
+// followPeers runs follow for each other member of the log for as long as it is a member.
+func (x *Exchange) followPeers(ctx context.Context) {
 	followed := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
 		peers := figpier.NewSet(x.log.Peers()...)
@@ -131,12 +134,12 @@
 				delete(followed, address)
 			}
 		}
-		x.pause(ctx, x.config.PollWait, nil)
+		x.waitForChange(ctx, x.config.PollWait, nil)
 	}
 }
 
-// heard keeps where a control instance runs that answered.
-func (x *Exchange) heard(address string, a *message.MembersAnswer) {
+// recordPlace stores the place of a control instance that answered.
+func (x *Exchange) recordPlace(address string, a *message.MembersAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.places[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
@@ -146,7 +149,7 @@
 	})
 }
 
-// drop forgets a silent control instance and the members that it told.
+// drop removes a control instance's place and the members learnt from it.
 func (x *Exchange) drop(address string) {
 	x.registry.Drop(figpier.InstanceID(address))
 	x.mu.Lock()
@@ -154,30 +157,30 @@
 	delete(x.places, address)
 }
 
-// follow merges the members of another control instance, and drops them when it stays silent or is no member any more.
+// follow polls another control instance and merges its members into the registry. It drops them after Silence without an answer, and when ctx ends.
 func (x *Exchange) follow(ctx context.Context, address string) {
 	defer x.drop(address)
 	known := message.MembersPoll{WaitMillis: int(x.config.PollWait.Milliseconds())}
-	heard := x.clock.Now()
+	lastAnswer := x.clock.Now()
 	for ctx.Err() == nil {
-		a, err := x.ask(ctx, address, known)
+		a, err := x.poll(ctx, address, known)
 		if err == nil {
-			heard = x.clock.Now()
-			x.heard(address, a)
+			lastAnswer = x.clock.Now()
+			x.recordPlace(address, a)
 			x.registry.Merge(figpier.InstanceID(address), codec.ToMemberDelta(a.MemberVersion, a.Members, a.Gone), a.Full)
 			known.Registry = a.Registry
 			known.MemberVersion = a.MemberVersion
 			continue
 		}
-		if known.Registry != "" && x.clock.Now().Sub(heard) > x.config.Silence {
+		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.Silence {
 			x.drop(address)
 			known.Registry = ""
 		}
-		x.pause(ctx, x.config.RetryPause, nil)
+		x.waitForChange(ctx, x.config.RetryPause, nil)
 	}
 }
 
-func (x *Exchange) ask(ctx context.Context, address string, known message.MembersPoll) (*message.MembersAnswer, error) {
+func (x *Exchange) poll(ctx context.Context, address string, known message.MembersPoll) (*message.MembersAnswer, error) {
 	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AskTimeout)
 	defer cancel()
 	a := &message.MembersAnswer{}
--- a/internal/control/machines/doc.go
+++ b/internal/control/machines/doc.go
@@ -1,2 +1,2 @@
-// Package machines lets one control log drive several state machines.
+// Package machines combines several state machines into one that a replicated log can drive.
 package machines
--- a/internal/control/machines/machines.go
+++ b/internal/control/machines/machines.go
@@ -10,26 +10,26 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Error is the class of failures to read a snapshot.
+// Error is the error class of combined snapshots that cannot be encoded or decoded.
 var Error = errs.Class("state machines")
 
-// shardPrefix starts each command about shards, and no other command.
+// shardPrefix is how each shard command begins, and no other command.
 const shardPrefix = `{"begin":`
 
 // Config builds Machines.
 type Config struct {
-	// Catalog takes the operators' edits.
+	// Catalog applies the operators' edits and all other commands that are not for shards.
 	Catalog figpier.StateMachine
-	// Shards takes the commands that assign shards.
+	// Shards applies the commands that begin with shardPrefix.
 	Shards figpier.StateMachine
 }
 
-// Machines implements figpier.StateMachine by the machine that each command is for.
+// Machines implements figpier.StateMachine by passing each command to the state machine that it is for.
 type Machines struct {
 	config Config
 }
 
-// New returns the state machines as one.
+// New returns a state machine that combines those of the configuration.
 func New(c Config) *Machines { return &Machines{config: c} }
 
 // Apply implements figpier.StateMachine.
