--- a/internal/control/pool/doc.go
+++ b/internal/control/pool/doc.go
@@ -1,2 +1,2 @@
-// Package pool spends a part of each customer's limit for the nodes that poll a control instance.
+// Package pool implements a control instance's token pools: it holds a part of each customer's limit and grants tokens from it to the nodes that poll this instance.
 package pool
--- a/internal/control/pool/pool.go
+++ b/internal/control/pool/pool.go
@@ -12,20 +12,20 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// gatherTime is how long after the start of all processes an instance knows too few nodes to divide by; each polls within it.
-const gatherTime = time.Second
+// registrationTime is how long after the start of all processes an instance may know too few nodes to divide a limit among; each node polls within it.
+const registrationTime = time.Second
 
 // Config builds a Pool.
 type Config struct {
 	// Address is this control instance's IP address and port for messages.
 	Address string
-	// Window is the span over which the fleet's excess is judged.
+	// Window is the time over which the fleet's requests beyond a limit are counted.
 	Window time.Duration
-	// Overage is the part by which the fleet may exceed a limit within the window.
+	// Overage is the fraction by which the fleet may exceed a limit within the window.
 	Overage float64
-	// Slack is the number of requests by which the fleet may exceed a limit within the window besides.
+	// Slack is the number of requests by which the fleet may exceed a limit within the window, in addition to Overage.
 	Slack float64
-	// Log takes a line for each transfer that failed.
+	// Log receives a debug line for each transfer that failed.
 	Log *logrus.Entry
 }
 
@@ -36,15 +36,16 @@
 	catalog  figpier.Catalog
 	registry figpier.Registry
 	exchange figpier.Exchange
-	// messenger carries asks for tokens to the other control instances.
+	// messenger sends requests for tokens to the other control instances.
 	messenger figpier.Messenger
 
-	// opened is when the process started.
-	opened time.Time
+	// startedAt is when this service started.
+	startedAt time.Time
 
+	// mu guards the fields below.
 	mu     sync.Mutex
-	policy *quota.Table
-	// shortages are the customers for whom this instance has asked others.
+	quotas *quota.Table
+	// shortages holds the state of transfers by customer, for those whose pool here has been empty.
 	shortages map[figpier.CustomerID]*shortage
 }
 
@@ -59,12 +60,12 @@
 // Start implements figpier.Service.
 func (p *Pool) Start(_ context.Context, d figpier.Directory) (err error) {
 	p.clock = d.Clock()
-	p.opened = p.clock.Now()
-	p.policy = quota.New(quota.Config{
+	p.startedAt = p.clock.Now()
+	p.quotas = quota.New(quota.Config{
 		Window:  p.config.Window,
 		Overage: p.config.Overage,
 		Slack:   p.config.Slack,
-		Opened:  p.opened,
+		Opened:  p.startedAt,
 	})
 	if p.catalog, err = figpier.FindCatalog(d); err != nil {
 		return err
@@ -78,38 +79,40 @@
 	if p.messenger, err = figpier.FindMessenger(d); err != nil {
 		return err
 	}
-	p.messenger.Handle(figpier.MethodPool, p.answer)
-	p.messenger.Handle(figpier.MethodTransfer, p.give)
+	p.messenger.Handle(figpier.MethodPool, p.handleTokenRequest)
+	p.messenger.Handle(figpier.MethodTransfer, p.handleTransfer)
 	return nil
 }
 
 // Stop implements figpier.Service.
 func (p *Pool) Stop(context.Context) error { return nil }
 
-func (p *Pool) answer(ctx context.Context, decode figpier.Decode) (any, error) {
+// handleTokenRequest answers a node. If this pool has no token, it asks another control instance for some and tries once
+// more. The answer is Idle while too few nodes are known.
+func (p *Pool) handleTokenRequest(ctx context.Context, decode figpier.Decode) (any, error) {
 	var m message.PoolAsk
 	if err := decode(&m); err != nil {
 		return nil, err
 	}
 	now := p.clock.Now()
 	polling, all := p.registry.Polling(now)
-	if polling == 0 || m.Nodes == 0 && !p.registry.Settled(now) && now.Sub(p.opened) < gatherTime {
+	if polling == 0 || m.Nodes == 0 && !p.registry.Settled(now) && now.Sub(p.startedAt) < registrationTime {
 		return message.PoolAnswer{Idle: true}, nil
 	}
-	// An instance that has just started knows fewer nodes than those that ask it.
-	a := p.take(now, m, polling, max(all, m.Nodes))
-	if !a.Granted && p.borrow(ctx, figpier.CustomerID(m.Customer)) {
+	// An instance that has just started may know fewer nodes than the asking node does.
+	a := p.grant(now, m, polling, max(all, m.Nodes))
+	if !a.Granted && p.requestTransfer(ctx, figpier.CustomerID(m.Customer)) {
 		m.Owed = 0
 		paid := a.Paid
-		a = p.take(p.clock.Now(), m, polling, max(all, m.Nodes))
+		a = p.grant(p.clock.Now(), m, polling, max(all, m.Nodes))
 		a.Paid = paid
 	}
 	return a, nil
 }
 
-// take spends a token of a customer after those that the node owes; one of a customer without an account is left to the
-// node, which may know a newer table.
-func (p *Pool) take(now time.Time, m message.PoolAsk, polling, all int) message.PoolAnswer {
+// grant takes the tokens that the node owes and then one more from a customer's pool. For a customer without an account it
+// always grants, as the node may know a newer routing table.
+func (p *Pool) grant(now time.Time, m message.PoolAsk, polling, all int) message.PoolAnswer {
 	c := figpier.CustomerID(m.Customer)
 	limit, ok := p.limit(c)
 	if !ok {
@@ -117,18 +120,18 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	share := p.policy.PoolShare(limit, polling, all)
-	paid := p.policy.Pay(now, c, limit, share, m.Owed)
-	wait, granted := p.policy.Take(now, c, limit, share)
-	return message.PoolAnswer{Granted: granted, WaitMillis: roundedUp(wait), Paid: paid}
+	share := p.quotas.PoolShare(limit, polling, all)
+	paid := p.quotas.Pay(now, c, limit, share, m.Owed)
+	wait, granted := p.quotas.Take(now, c, limit, share)
+	return message.PoolAnswer{Granted: granted, WaitMillis: ceilMillis(wait), Paid: paid}
 }
 
-// roundedUp returns a wait in milliseconds, so that nobody comes back too soon and a short wait is told too.
-func roundedUp(wait time.Duration) int {
+// ceilMillis rounds a wait up to milliseconds, so that no node retries too soon and a wait under 1 ms is not sent as 0.
+func ceilMillis(wait time.Duration) int {
 	return int((wait + time.Millisecond - 1).Milliseconds())
 }
 
-// limit returns the limit of a customer, false where the routing table has no account of it.
+// limit returns the limit of a customer, false if the routing table has no account for it.
 func (p *Pool) limit(c figpier.CustomerID) (figpier.Limit, bool) {
 	t := p.catalog.Configuration().Table()
 	if t == nil {
--- a/internal/control/pool/transfer.go
+++ b/internal/control/pool/transfer.go
@@ -8,26 +8,26 @@
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
-// Figures of the transfers of tokens between control instances.
+// Limits of token transfers between control instances.
 const (
-	// transferTimeout is a round trip between regions with time to answer; the node that asks waits 150 ms.
+	// transferTimeout covers a round trip between regions and the time to answer; the node that asks waits 150 ms.
 	transferTimeout = 80 * time.Millisecond
 	// transferPause is how long a control instance that had no token to spare is not asked again for the same customer, so
 	// that a customer beyond its limit costs few messages between regions.
 	transferPause = time.Second
 )
 
-// shortage is a customer's want of tokens at this control instance.
+// shortage is the state of the transfers of one customer's tokens to this control instance.
 type shortage struct {
-	// asking says that another control instance is being asked.
-	asking bool
-	// empty is when the control instances at some addresses last had no token to spare.
-	empty map[string]time.Time
+	// inProgress says that another control instance is being asked.
+	inProgress bool
+	// lastEmpty is when a control instance last had no token to spare or did not answer, by its address.
+	lastEmpty map[string]time.Time
 }
 
-// borrow asks the next control instance that may have tokens of a customer to spare, and reports whether some came.
-func (p *Pool) borrow(ctx context.Context, c figpier.CustomerID) bool {
-	address, ok := p.lender(c)
+// requestTransfer asks the next control instance that may have tokens of a customer to spare, and reports whether it sent any.
+func (p *Pool) requestTransfer(ctx context.Context, c figpier.CustomerID) bool {
+	address, ok := p.nextDonor(c)
 	if !ok {
 		return false
 	}
@@ -38,44 +38,44 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.shortages[c]
-	s.asking = false
+	s.inProgress = false
 	if err != nil || a.Tokens == 0 {
-		s.empty[address] = p.clock.Now()
+		s.lastEmpty[address] = p.clock.Now()
 	}
 	if err != nil {
-		p.config.Log.WithError(err).WithField("control", address).Debug("a control instance gave no tokens")
+		p.config.Log.WithError(err).WithField("control", address).Debug("a control instance did not answer a request for tokens")
 		return false
 	}
-	p.policy.Receive(c, a.Tokens)
+	p.quotas.Receive(c, a.Tokens)
 	return a.Tokens > 0
 }
 
-// lender returns the address of a control instance to ask for tokens of a customer, one at a time.
-func (p *Pool) lender(c figpier.CustomerID) (address string, ok bool) {
+// nextDonor returns the address of a control instance to ask for a customer's tokens and marks the transfer as in progress. It returns false if one already is, or if all were asked within transferPause.
+func (p *Pool) nextDonor(c figpier.CustomerID) (address string, ok bool) {
 	now := p.clock.Now()
 	places := p.exchange.Places()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, known := p.shortages[c]
 	if !known {
-		s = &shortage{empty: map[string]time.Time{}}
+		s = &shortage{lastEmpty: map[string]time.Time{}}
 		p.shortages[c] = s
 	}
-	if s.asking {
+	if s.inProgress {
 		return "", false
 	}
 	for _, place := range places {
-		at, asked := s.empty[place.Address()]
+		at, asked := s.lastEmpty[place.Address()]
 		if place.Address() != p.config.Address && (!asked || now.Sub(at) >= transferPause) {
-			s.asking = true
+			s.inProgress = true
 			return place.Address(), true
 		}
 	}
 	return "", false
 }
 
-// give hands tokens to another control instance that is short of them.
-func (p *Pool) give(_ context.Context, decode figpier.Decode) (any, error) {
+// handleTransfer gives tokens that this pool can spare to another control instance, none while the registry has not settled.
+func (p *Pool) handleTransfer(_ context.Context, decode figpier.Decode) (any, error) {
 	var m message.TransferAsk
 	if err := decode(&m); err != nil {
 		return nil, err
@@ -89,5 +89,5 @@
 	polling, all := p.registry.Polling(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return message.TransferAnswer{Tokens: p.policy.Spare(now, c, limit, p.policy.PoolShare(limit, polling, all))}, nil
+	return message.TransferAnswer{Tokens: p.quotas.Spare(now, c, limit, p.quotas.PoolShare(limit, polling, all))}, nil
 }
