--- a/internal/control/pool/pool.go
+++ b/internal/control/pool/pool.go
@@ -19,7 +19,7 @@
 type Config struct {
 	// Address is this control instance's IP address and port for messages.
 	Address string
-	// Window is the time over which the fleet's requests beyond a limit are counted.
+	// Window is the length of the sliding window in which the fleet's requests are compared with the limit.
 	Window time.Duration
 	// Overage is the fraction by which the fleet may exceed a limit within the window.
 	Overage float64
@@ -88,7 +88,7 @@
 func (p *Pool) Stop(context.Context) error { return nil }
 
 // handleTokenRequest answers a node. If this pool has no token, it asks another control instance for some and tries once
-// more. The answer is Idle while too few nodes are known.
+// more. The answer is Idle if no node polls this instance, or while too few nodes are known.
 func (p *Pool) handleTokenRequest(ctx context.Context, decode figpier.Decode) (any, error) {
 	var m message.PoolAsk
 	if err := decode(&m); err != nil {
--- a/internal/control/replica/service.go
+++ b/internal/control/replica/service.go
@@ -235,7 +235,7 @@
 	})
 }
 
-// Stop implements figpier.Service; a leader first transfers the leadership, for at most handOverTimeout.
+// Stop implements figpier.Service; a leader first transfers the leadership and waits at most handOverTimeout for that.
 func (l *Log) Stop(ctx context.Context) error {
 	if l.published.Load().leading && l.control.Post(handOver{}) == nil {
 		bounded, cancel := context.WithTimeout(ctx, handOverTimeout)
--- a/internal/control/replica/writer.go
+++ b/internal/control/replica/writer.go
@@ -9,7 +9,7 @@
 	decision "github.com/figpier/figpier/internal/policy/replica"
 )
 
-// writer makes effects durable in order on its own goroutine; all that are queued share one write.
+// writer makes effects durable in order on its own goroutine; all that are queued share one call of disk.Write.
 type writer struct {
 	disk    *disk.Disk
 	control figpier.ControlThread
