--- a/design/api.go
+++ b/design/api.go
@@ -4,7 +4,7 @@
 
 var _ = API("figpier", func() {
 	Title("figpier operator API")
-	Description("Edits and assigns profiles, gives and withdraws customer keys, and shows the state of a control instance.")
+	Description("Edits and assigns profiles, creates and revokes customer keys, and shows the state of control instances and nodes.")
 	Server("control", func() {
 		Services("operator")
 		Host("loopback", func() {
@@ -13,26 +13,26 @@
 	})
 })
 
-// OperatorToken is the bearer token of an operator.
+// OperatorToken is the security scheme of all methods: a bearer token that identifies the operator.
 var OperatorToken = JWTSecurity("operator_token", func() {
 	Description("An operator's bearer token.")
 })
 
 var _ = Service("operator", func() {
-	Description("What operators do while traffic runs.")
+	Description("Management of profiles, assignments and customer keys at run time.")
 	Security(OperatorToken)
 	failures()
 	profileMethods()
 	assignmentMethods()
 	keyMethods()
 	Method("view_status", func() {
-		Description("Show what the control instance that answers knows.")
+		Description("Show the state of the control instance that answers.")
 		Payload(func() { token() })
 		Result(Status)
 		HTTP(func() { GET("/v1/status") })
 	})
 	Method("view_node", func() {
-		Description("Show which limits of a node hold requests back, for whom and since when.")
+		Description("Show which limits of a node hold requests back, for which customers and since when.")
 		Payload(func() {
 			token()
 			Attribute("instance", String, "The node's name.")
@@ -96,7 +96,7 @@
 		})
 	})
 	Method("delete_profile", func() {
-		Description("Delete a profile that no service has.")
+		Description("Delete a profile that is not assigned to any service.")
 		Payload(func() {
 			edit()
 			Attribute("profile", String, "The profile's name.")
@@ -112,16 +112,16 @@
 
 func assignmentMethods() {
 	Method("list_assignments", func() {
-		Description("List all assignments in alphabetical order of services.")
+		Description("List all assignments, sorted by service.")
 		Payload(func() { token() })
 		Result(AssignmentList)
 		HTTP(func() { GET("/v1/assignments") })
 	})
 	Method("assign", func() {
-		Description("Give a service its profile.")
+		Description("Assign a profile to a service, in place of the one that it has.")
 		Payload(func() {
 			edit()
-			Attribute("service", String, "The service of the call graph.")
+			Attribute("service", String, "The service's name.")
 			Attribute("profile", String, "The profile's name.")
 			Required("service", "profile")
 		})
@@ -135,13 +135,13 @@
 
 func keyMethods() {
 	Method("list_keys", func() {
-		Description("List all keys without their secrets, by customer and revision.")
+		Description("List all keys without their secrets, sorted by customer and revision.")
 		Payload(func() { token() })
 		Result(KeyList)
 		HTTP(func() { GET("/v1/keys") })
 	})
 	Method("give_key", func() {
-		Description("Give a customer a new key, whose secret is in this answer only.")
+		Description("Create a key for a customer. The secret is in the response to the first request only.")
 		Payload(func() {
 			token()
 			operation()
@@ -155,11 +155,11 @@
 		})
 	})
 	Method("withdraw_key", func() {
-		Description("Withdraw a key, which needs no base revision as a key never changes.")
+		Description("Revoke a key. No base revision is needed, as a key never changes.")
 		Payload(func() {
 			token()
 			operation()
-			Attribute("key", String, "The key's public name.")
+			Attribute("key", String, "The key's public identifier.")
 			Required("key")
 		})
 		Result(Receipt)
@@ -176,7 +176,7 @@
 }
 
 func operation() {
-	Attribute("operation", String, "The edit's name; a resend under the same name gets the first answer. One is made when it is absent.", func() {
+	Attribute("operation", String, "The edit's idempotency identifier: a resend with the same one gets the first response. One is generated when it is absent.", func() {
 		MaxLength(128)
 	})
 }
@@ -184,7 +184,7 @@
 func edit() {
 	token()
 	operation()
-	Attribute("base", Int64, "The revision of the edited object that the operator saw, 0 to create it.", func() {
+	Attribute("base", Int64, "The revision of the edited object that the edit is based on, 0 to create the object.", func() {
 		Minimum(0)
 	})
 	Required("base")
--- a/design/doc.go
+++ b/design/doc.go
@@ -1,2 +1,2 @@
-// Package design describes the operator API, from which goa generates the packages under gen.
+// Package design describes the operator API in goa's DSL; script/generate builds the packages under gen from it.
 package design
--- a/gen/http/cli/control/cli.go
+++ b/gen/http/cli/control/cli.go
@@ -70,7 +70,7 @@
 
 		operatorAssignFlags         = flag.NewFlagSet("assign", flag.ExitOnError)
 		operatorAssignBodyFlag      = operatorAssignFlags.String("body", "REQUIRED", "")
-		operatorAssignServiceFlag   = operatorAssignFlags.String("service", "REQUIRED", "The service of the call graph.")
+		operatorAssignServiceFlag   = operatorAssignFlags.String("service", "REQUIRED", "The service's name.")
 		operatorAssignOperationFlag = operatorAssignFlags.String("operation", "", "")
 		operatorAssignBaseFlag      = operatorAssignFlags.String("base", "REQUIRED", "")
 		operatorAssignTokenFlag     = operatorAssignFlags.String("token", "REQUIRED", "")
@@ -84,7 +84,7 @@
 		operatorGiveKeyTokenFlag     = operatorGiveKeyFlags.String("token", "REQUIRED", "")
 
 		operatorWithdrawKeyFlags         = flag.NewFlagSet("withdraw-key", flag.ExitOnError)
-		operatorWithdrawKeyKeyFlag       = operatorWithdrawKeyFlags.String("key", "REQUIRED", "The key's public name.")
+		operatorWithdrawKeyKeyFlag       = operatorWithdrawKeyFlags.String("key", "REQUIRED", "The key's public identifier.")
 		operatorWithdrawKeyOperationFlag = operatorWithdrawKeyFlags.String("operation", "", "")
 		operatorWithdrawKeyTokenFlag     = operatorWithdrawKeyFlags.String("token", "REQUIRED", "")
 
@@ -245,20 +245,20 @@
 
 // operatorUsage displays the usage of the operator command and its subcommands.
 func operatorUsage() {
-	fmt.Fprintln(os.Stderr, `What operators do while traffic runs.`)
+	fmt.Fprintln(os.Stderr, `Management of profiles, assignments and customer keys at run time.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] operator COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
 	fmt.Fprintln(os.Stderr, `    list-profiles: List all profiles in alphabetical order.`)
 	fmt.Fprintln(os.Stderr, `    view-profile: Show one profile in the form of a profile file.`)
 	fmt.Fprintln(os.Stderr, `    apply-profile: Create or replace a profile.`)
-	fmt.Fprintln(os.Stderr, `    delete-profile: Delete a profile that no service has.`)
-	fmt.Fprintln(os.Stderr, `    list-assignments: List all assignments in alphabetical order of services.`)
-	fmt.Fprintln(os.Stderr, `    assign: Give a service its profile.`)
-	fmt.Fprintln(os.Stderr, `    list-keys: List all keys without their secrets, by customer and revision.`)
-	fmt.Fprintln(os.Stderr, `    give-key: Give a customer a new key, whose secret is in this answer only.`)
-	fmt.Fprintln(os.Stderr, `    withdraw-key: Withdraw a key, which needs no base revision as a key never changes.`)
-	fmt.Fprintln(os.Stderr, `    view-status: Show what the control instance that answers knows.`)
-	fmt.Fprintln(os.Stderr, `    view-node: Show which limits of a node hold requests back, for whom and since when.`)
+	fmt.Fprintln(os.Stderr, `    delete-profile: Delete a profile that is not assigned to any service.`)
+	fmt.Fprintln(os.Stderr, `    list-assignments: List all assignments, sorted by service.`)
+	fmt.Fprintln(os.Stderr, `    assign: Assign a profile to a service, in place of the one that it has.`)
+	fmt.Fprintln(os.Stderr, `    list-keys: List all keys without their secrets, sorted by customer and revision.`)
+	fmt.Fprintln(os.Stderr, `    give-key: Create a key for a customer. The secret is in the response to the first request only.`)
+	fmt.Fprintln(os.Stderr, `    withdraw-key: Revoke a key. No base revision is needed, as a key never changes.`)
+	fmt.Fprintln(os.Stderr, `    view-status: Show the state of the control instance that answers.`)
+	fmt.Fprintln(os.Stderr, `    view-node: Show which limits of a node hold requests back, for which customers and since when.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s operator COMMAND --help\n", os.Args[0])
@@ -338,7 +338,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Delete a profile that no service has.`)
+	fmt.Fprintln(os.Stderr, `Delete a profile that is not assigned to any service.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -profile STRING: The profile's name.`)
@@ -359,7 +359,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `List all assignments in alphabetical order of services.`)
+	fmt.Fprintln(os.Stderr, `List all assignments, sorted by service.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
@@ -381,11 +381,11 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Give a service its profile.`)
+	fmt.Fprintln(os.Stderr, `Assign a profile to a service, in place of the one that it has.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
-	fmt.Fprintln(os.Stderr, `    -service STRING: The service of the call graph.`)
+	fmt.Fprintln(os.Stderr, `    -service STRING: The service's name.`)
 	fmt.Fprintln(os.Stderr, `    -operation STRING: `)
 	fmt.Fprintln(os.Stderr, `    -base INT64: `)
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
@@ -403,7 +403,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `List all keys without their secrets, by customer and revision.`)
+	fmt.Fprintln(os.Stderr, `List all keys without their secrets, sorted by customer and revision.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
@@ -423,7 +423,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Give a customer a new key, whose secret is in this answer only.`)
+	fmt.Fprintln(os.Stderr, `Create a key for a customer. The secret is in the response to the first request only.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -445,10 +445,10 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Withdraw a key, which needs no base revision as a key never changes.`)
+	fmt.Fprintln(os.Stderr, `Revoke a key. No base revision is needed, as a key never changes.`)
 
 	// Flags list
-	fmt.Fprintln(os.Stderr, `    -key STRING: The key's public name.`)
+	fmt.Fprintln(os.Stderr, `    -key STRING: The key's public identifier.`)
 	fmt.Fprintln(os.Stderr, `    -operation STRING: `)
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
 
@@ -465,7 +465,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Show what the control instance that answers knows.`)
+	fmt.Fprintln(os.Stderr, `Show the state of the control instance that answers.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
@@ -484,7 +484,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Show which limits of a node hold requests back, for whom and since when.`)
+	fmt.Fprintln(os.Stderr, `Show which limits of a node hold requests back, for which customers and since when.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -instance STRING: The node's name.`)
--- a/gen/http/operator/server/types.go
+++ b/gen/http/operator/server/types.go
@@ -38,7 +38,7 @@
 type ListProfilesResponseBody struct {
 	// The configuration revision that was read.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The lines.
+	// The profiles.
 	Profiles []*ProfileSummaryResponseBody `form:"profiles" json:"profiles" xml:"profiles"`
 }
 
@@ -47,7 +47,7 @@
 type ViewProfileResponseBody struct {
 	// The profile's name.
 	Name string `form:"name" json:"name" xml:"name"`
-	// The base revision of the next edit of the profile.
+	// The profile's revision, which is the base of its next edit.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
 	// The profile in the form of a profile file.
 	Document string `form:"document" json:"document" xml:"document"`
@@ -56,26 +56,26 @@
 // ApplyProfileResponseBody is the type of the "operator" service
 // "apply_profile" endpoint HTTP response body.
 type ApplyProfileResponseBody struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string `form:"operation" json:"operation" xml:"operation"`
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
 // DeleteProfileResponseBody is the type of the "operator" service
 // "delete_profile" endpoint HTTP response body.
 type DeleteProfileResponseBody struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string `form:"operation" json:"operation" xml:"operation"`
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -84,20 +84,20 @@
 type ListAssignmentsResponseBody struct {
 	// The configuration revision that was read.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The lines.
+	// The assignments.
 	Assignments []*AssignmentResponseBody `form:"assignments" json:"assignments" xml:"assignments"`
 }
 
 // AssignResponseBody is the type of the "operator" service "assign" endpoint
 // HTTP response body.
 type AssignResponseBody struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string `form:"operation" json:"operation" xml:"operation"`
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -106,33 +106,33 @@
 type ListKeysResponseBody struct {
 	// The configuration revision that was read.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The lines.
+	// The keys.
 	Keys []*CustomerKeyResponseBody `form:"keys" json:"keys" xml:"keys"`
 }
 
 // GiveKeyResponseBody is the type of the "operator" service "give_key"
 // endpoint HTTP response body.
 type GiveKeyResponseBody struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string `form:"operation" json:"operation" xml:"operation"`
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
 // WithdrawKeyResponseBody is the type of the "operator" service "withdraw_key"
 // endpoint HTTP response body.
 type WithdrawKeyResponseBody struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string `form:"operation" json:"operation" xml:"operation"`
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -143,9 +143,9 @@
 	Instance string `form:"instance" json:"instance" xml:"instance"`
 	// The leading control instance, empty when unknown.
 	Leader string `form:"leader" json:"leader" xml:"leader"`
-	// How long ago the instance knew itself current with a quorum.
+	// How long ago the instance was known to be up to date with a quorum.
 	QuorumAgeMillis int64 `form:"quorum_age_millis" json:"quorum_age_millis" xml:"quorum_age_millis"`
-	// The newest accepted configuration that the instance knows.
+	// The newest accepted configuration revision that the instance has.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
 	// The number of profiles.
 	Profiles int `form:"profiles" json:"profiles" xml:"profiles"`
@@ -153,7 +153,7 @@
 	Assignments int `form:"assignments" json:"assignments" xml:"assignments"`
 	// The number of keys in force.
 	Keys int `form:"keys" json:"keys" xml:"keys"`
-	// The nodes in alphabetical order of services and instances.
+	// The nodes, sorted by service and instance.
 	Members []*MemberResponseBody `form:"members" json:"members" xml:"members"`
 }
 
@@ -162,9 +162,9 @@
 type ViewNodeResponseBody struct {
 	// The node's name.
 	Instance string `form:"instance" json:"instance" xml:"instance"`
-	// The service that the backend server beside it runs.
+	// The service of the backend server beside the node.
 	Service string `form:"service" json:"service" xml:"service"`
-	// The limits that bind now, oldest first.
+	// The limits that currently hold requests back, oldest first.
 	Bindings []*BindingResponseBody `form:"bindings" json:"bindings" xml:"bindings"`
 }
 
@@ -173,18 +173,18 @@
 type ListProfilesConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -193,18 +193,18 @@
 type ListProfilesInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -213,18 +213,18 @@
 type ListProfilesNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -233,18 +233,18 @@
 type ListProfilesNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -253,18 +253,18 @@
 type ListProfilesOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -273,18 +273,18 @@
 type ListProfilesUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -293,18 +293,18 @@
 type ListProfilesUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -313,18 +313,18 @@
 type ListProfilesInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -333,18 +333,18 @@
 type ViewProfileConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -353,18 +353,18 @@
 type ViewProfileInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -373,18 +373,18 @@
 type ViewProfileNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -393,18 +393,18 @@
 type ViewProfileNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -413,18 +413,18 @@
 type ViewProfileOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -433,18 +433,18 @@
 type ViewProfileUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -453,18 +453,18 @@
 type ViewProfileUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -473,18 +473,18 @@
 type ViewProfileInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -493,18 +493,18 @@
 type ApplyProfileConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -513,18 +513,18 @@
 type ApplyProfileInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -533,18 +533,18 @@
 type ApplyProfileNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -553,18 +553,18 @@
 type ApplyProfileNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -573,18 +573,18 @@
 type ApplyProfileOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -593,18 +593,18 @@
 type ApplyProfileUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -613,18 +613,18 @@
 type ApplyProfileUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -633,18 +633,18 @@
 type ApplyProfileInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -653,18 +653,18 @@
 type DeleteProfileConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -673,18 +673,18 @@
 type DeleteProfileInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -693,18 +693,18 @@
 type DeleteProfileNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -713,18 +713,18 @@
 type DeleteProfileNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -734,18 +734,18 @@
 type DeleteProfileOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -754,18 +754,18 @@
 type DeleteProfileUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -774,18 +774,18 @@
 type DeleteProfileUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -794,18 +794,18 @@
 type DeleteProfileInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -814,18 +814,18 @@
 type ListAssignmentsConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -834,18 +834,18 @@
 type ListAssignmentsInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -854,18 +854,18 @@
 type ListAssignmentsNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -874,18 +874,18 @@
 type ListAssignmentsNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -895,18 +895,18 @@
 type ListAssignmentsOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -915,18 +915,18 @@
 type ListAssignmentsUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -936,18 +936,18 @@
 type ListAssignmentsUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -956,18 +956,18 @@
 type ListAssignmentsInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -976,18 +976,18 @@
 type AssignConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -996,18 +996,18 @@
 type AssignInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1016,18 +1016,18 @@
 type AssignNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1036,18 +1036,18 @@
 type AssignNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1056,18 +1056,18 @@
 type AssignOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1076,18 +1076,18 @@
 type AssignUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1096,18 +1096,18 @@
 type AssignUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1116,18 +1116,18 @@
 type AssignInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1136,18 +1136,18 @@
 type ListKeysConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1156,18 +1156,18 @@
 type ListKeysInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1176,18 +1176,18 @@
 type ListKeysNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1196,18 +1196,18 @@
 type ListKeysNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1216,18 +1216,18 @@
 type ListKeysOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1236,18 +1236,18 @@
 type ListKeysUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1256,18 +1256,18 @@
 type ListKeysUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1276,18 +1276,18 @@
 type ListKeysInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1296,18 +1296,18 @@
 type GiveKeyConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1316,18 +1316,18 @@
 type GiveKeyInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1336,18 +1336,18 @@
 type GiveKeyNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1356,18 +1356,18 @@
 type GiveKeyNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1376,18 +1376,18 @@
 type GiveKeyOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1396,18 +1396,18 @@
 type GiveKeyUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1416,18 +1416,18 @@
 type GiveKeyUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1436,18 +1436,18 @@
 type GiveKeyInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1456,18 +1456,18 @@
 type WithdrawKeyConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1476,18 +1476,18 @@
 type WithdrawKeyInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1496,18 +1496,18 @@
 type WithdrawKeyNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1516,18 +1516,18 @@
 type WithdrawKeyNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1536,18 +1536,18 @@
 type WithdrawKeyOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1556,18 +1556,18 @@
 type WithdrawKeyUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1576,18 +1576,18 @@
 type WithdrawKeyUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1596,18 +1596,18 @@
 type WithdrawKeyInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1616,18 +1616,18 @@
 type ViewStatusConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1636,18 +1636,18 @@
 type ViewStatusInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1656,18 +1656,18 @@
 type ViewStatusNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1676,18 +1676,18 @@
 type ViewStatusNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1696,18 +1696,18 @@
 type ViewStatusOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1716,18 +1716,18 @@
 type ViewStatusUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1736,18 +1736,18 @@
 type ViewStatusUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1756,18 +1756,18 @@
 type ViewStatusInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1776,18 +1776,18 @@
 type ViewNodeConflictResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1796,18 +1796,18 @@
 type ViewNodeInvalidResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1816,18 +1816,18 @@
 type ViewNodeNotFoundResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1836,18 +1836,18 @@
 type ViewNodeNotLeaderResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1856,18 +1856,18 @@
 type ViewNodeOutcomeUnknownResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1876,18 +1876,18 @@
 type ViewNodeUnreachedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1896,18 +1896,18 @@
 type ViewNodeUnauthorizedResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1916,18 +1916,18 @@
 type ViewNodeInternalResponseBody struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string `form:"name" json:"name" xml:"name"`
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string `form:"message" json:"message" xml:"message"`
 	// The path of the first invalid field.
 	Field *string `form:"field,omitempty" json:"field,omitempty" xml:"field,omitempty"`
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int `form:"line,omitempty" json:"line,omitempty" xml:"line,omitempty"`
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1935,31 +1935,31 @@
 type ProfileSummaryResponseBody struct {
 	// The profile's name.
 	Name string `form:"name" json:"name" xml:"name"`
-	// The base revision of the next edit of the profile.
+	// The profile's revision, which is the base of its next edit.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
 	// The number of routes.
 	Routes int `form:"routes" json:"routes" xml:"routes"`
-	// The services that have the profile, in alphabetical order.
+	// The services that the profile is assigned to, in alphabetical order.
 	Services []string `form:"services" json:"services" xml:"services"`
 }
 
 // AssignmentResponseBody is used to define fields on response body types.
 type AssignmentResponseBody struct {
-	// The service of the call graph.
+	// The service's name.
 	Service string `form:"service" json:"service" xml:"service"`
-	// The profile that the service has.
+	// The name of the profile that is assigned to the service.
 	Profile string `form:"profile" json:"profile" xml:"profile"`
-	// The base revision of the next assignment.
+	// The assignment's revision, which is the base of its next edit.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
 }
 
 // CustomerKeyResponseBody is used to define fields on response body types.
 type CustomerKeyResponseBody struct {
-	// The key's public name.
+	// The key's public identifier.
 	ID string `form:"id" json:"id" xml:"id"`
 	// The customer's name.
 	Customer string `form:"customer" json:"customer" xml:"customer"`
-	// The configuration revision that gave the key.
+	// The configuration revision that added the key.
 	Revision int64 `form:"revision" json:"revision" xml:"revision"`
 }
 
@@ -1967,27 +1967,29 @@
 type MemberResponseBody struct {
 	// The node's name.
 	Instance string `form:"instance" json:"instance" xml:"instance"`
-	// The service that the backend server beside it runs.
+	// The service of the backend server beside the node.
 	Service string `form:"service" json:"service" xml:"service"`
-	// Where the node runs.
+	// The data centre that the node runs in.
 	DataCentre string `form:"data_centre" json:"data_centre" xml:"data_centre"`
-	// The number of requests that the backend server says it runs at once.
+	// The number of requests that the backend server runs concurrently, by its own
+	// announcement.
 	Slots int `form:"slots" json:"slots" xml:"slots"`
-	// Whether the member takes no new work.
+	// Whether the node has stopped accepting new requests.
 	Draining bool `form:"draining" json:"draining" xml:"draining"`
 }
 
 // BindingResponseBody is used to define fields on response body types.
 type BindingResponseBody struct {
-	// Which limit binds, such as concurrency or retry-share.
+	// The limit's kind, such as concurrency or retry-share.
 	Kind string `form:"kind" json:"kind" xml:"kind"`
 	// The service whose calls are held back.
 	Service string `form:"service" json:"service" xml:"service"`
-	// Whose requests are held back, empty where all are.
+	// The customer whose requests are held back, empty on open routes and when all
+	// are.
 	Customer string `form:"customer" json:"customer" xml:"customer"`
-	// The route or member at which the limit binds, empty for the whole service.
+	// The route or member at which the limit applies, empty for the whole service.
 	Place string `form:"place" json:"place" xml:"place"`
-	// How long ago it began.
+	// How long ago the limit began to hold requests back.
 	SinceMillis int64 `form:"since_millis" json:"since_millis" xml:"since_millis"`
 	// The number of refusals since then.
 	Count int `form:"count" json:"count" xml:"count"`
--- a/gen/operator/service.go
+++ b/gen/operator/service.go
@@ -13,7 +13,7 @@
 	"goa.design/goa/v3/security"
 )
 
-// What operators do while traffic runs.
+// Management of profiles, assignments and customer keys at run time.
 type Service interface {
 	// List all profiles in alphabetical order.
 	ListProfiles(context.Context, *ListProfilesPayload) (res *ProfileList, err error)
@@ -21,21 +21,23 @@
 	ViewProfile(context.Context, *ViewProfilePayload) (res *ProfileView, err error)
 	// Create or replace a profile.
 	ApplyProfile(context.Context, *ApplyProfilePayload) (res *Receipt, err error)
-	// Delete a profile that no service has.
+	// Delete a profile that is not assigned to any service.
 	DeleteProfile(context.Context, *DeleteProfilePayload) (res *Receipt, err error)
-	// List all assignments in alphabetical order of services.
+	// List all assignments, sorted by service.
 	ListAssignments(context.Context, *ListAssignmentsPayload) (res *AssignmentList, err error)
-	// Give a service its profile.
+	// Assign a profile to a service, in place of the one that it has.
 	Assign(context.Context, *AssignPayload) (res *Receipt, err error)
-	// List all keys without their secrets, by customer and revision.
+	// List all keys without their secrets, sorted by customer and revision.
 	ListKeys(context.Context, *ListKeysPayload) (res *KeyList, err error)
-	// Give a customer a new key, whose secret is in this answer only.
+	// Create a key for a customer. The secret is in the response to the first
+	// request only.
 	GiveKey(context.Context, *GiveKeyPayload) (res *Receipt, err error)
-	// Withdraw a key, which needs no base revision as a key never changes.
+	// Revoke a key. No base revision is needed, as a key never changes.
 	WithdrawKey(context.Context, *WithdrawKeyPayload) (res *Receipt, err error)
-	// Show what the control instance that answers knows.
+	// Show the state of the control instance that answers.
 	ViewStatus(context.Context, *ViewStatusPayload) (res *Status, err error)
-	// Show which limits of a node hold requests back, for whom and since when.
+	// Show which limits of a node hold requests back, for which customers and
+	// since when.
 	ViewNode(context.Context, *ViewNodePayload) (res *NodeView, err error)
 }
 
@@ -66,10 +68,11 @@
 type ApplyProfilePayload struct {
 	// The operator's token.
 	Token string
-	// The edit's name; a resend under the same name gets the first answer. One is
-	// made when it is absent.
+	// The edit's idempotency identifier: a resend with the same one gets the first
+	// response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the operator saw, 0 to create it.
+	// The revision of the edited object that the edit is based on, 0 to create the
+	// object.
 	Base int64
 	// The profile's name.
 	Profile string
@@ -81,23 +84,24 @@
 type AssignPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's name; a resend under the same name gets the first answer. One is
-	// made when it is absent.
+	// The edit's idempotency identifier: a resend with the same one gets the first
+	// response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the operator saw, 0 to create it.
+	// The revision of the edited object that the edit is based on, 0 to create the
+	// object.
 	Base int64
-	// The service of the call graph.
+	// The service's name.
 	Service string
 	// The profile's name.
 	Profile string
 }
 
 type Assignment struct {
-	// The service of the call graph.
+	// The service's name.
 	Service string
-	// The profile that the service has.
+	// The name of the profile that is assigned to the service.
 	Profile string
-	// The base revision of the next assignment.
+	// The assignment's revision, which is the base of its next edit.
 	Revision int64
 }
 
@@ -106,20 +110,21 @@
 type AssignmentList struct {
 	// The configuration revision that was read.
 	Revision int64
-	// The lines.
+	// The assignments.
 	Assignments []*Assignment
 }
 
 type Binding struct {
-	// Which limit binds, such as concurrency or retry-share.
+	// The limit's kind, such as concurrency or retry-share.
 	Kind string
 	// The service whose calls are held back.
 	Service string
-	// Whose requests are held back, empty where all are.
+	// The customer whose requests are held back, empty on open routes and when all
+	// are.
 	Customer string
-	// The route or member at which the limit binds, empty for the whole service.
+	// The route or member at which the limit applies, empty for the whole service.
 	Place string
-	// How long ago it began.
+	// How long ago the limit began to hold requests back.
 	SinceMillis int64
 	// The number of refusals since then.
 	Count int
@@ -128,11 +133,11 @@
 }
 
 type CustomerKey struct {
-	// The key's public name.
+	// The key's public identifier.
 	ID string
 	// The customer's name.
 	Customer string
-	// The configuration revision that gave the key.
+	// The configuration revision that added the key.
 	Revision int64
 }
 
@@ -141,10 +146,11 @@
 type DeleteProfilePayload struct {
 	// The operator's token.
 	Token string
-	// The edit's name; a resend under the same name gets the first answer. One is
-	// made when it is absent.
+	// The edit's idempotency identifier: a resend with the same one gets the first
+	// response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the operator saw, 0 to create it.
+	// The revision of the edited object that the edit is based on, 0 to create the
+	// object.
 	Base int64
 	// The profile's name.
 	Profile string
@@ -153,18 +159,18 @@
 type Failure struct {
 	// The type of the failure, such as conflict or invalid.
 	Name string
-	// What is wrong and what to do.
+	// What went wrong and what to do about it.
 	Message string
 	// The path of the first invalid field.
 	Field *string
-	// The line of the first invalid field in the text that was sent.
+	// The line of the first invalid field in the submitted document.
 	Line *int
-	// The revision of the edited object after the winning edit, 0 when it does not
-	// exist.
+	// The revision of the edited object after the edit that won, 0 when it does
+	// not exist.
 	Current *int64
 	// The leading control instance, empty when unknown.
 	Leader *string
-	// The name of the edit to resend.
+	// The idempotency identifier with which to resend the edit.
 	Operation *string
 }
 
@@ -172,8 +178,8 @@
 type GiveKeyPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's name; a resend under the same name gets the first answer. One is
-	// made when it is absent.
+	// The edit's idempotency identifier: a resend with the same one gets the first
+	// response. One is generated when it is absent.
 	Operation *string
 	// The customer's name.
 	Customer string
@@ -183,7 +189,7 @@
 type KeyList struct {
 	// The configuration revision that was read.
 	Revision int64
-	// The lines.
+	// The keys.
 	Keys []*CustomerKey
 }
 
@@ -210,13 +216,14 @@
 type Member struct {
 	// The node's name.
 	Instance string
-	// The service that the backend server beside it runs.
+	// The service of the backend server beside the node.
 	Service string
-	// Where the node runs.
+	// The data centre that the node runs in.
 	DataCentre string
-	// The number of requests that the backend server says it runs at once.
+	// The number of requests that the backend server runs concurrently, by its own
+	// announcement.
 	Slots int
-	// Whether the member takes no new work.
+	// Whether the node has stopped accepting new requests.
 	Draining bool
 }
 
@@ -224,9 +231,9 @@
 type NodeView struct {
 	// The node's name.
 	Instance string
-	// The service that the backend server beside it runs.
+	// The service of the backend server beside the node.
 	Service string
-	// The limits that bind now, oldest first.
+	// The limits that currently hold requests back, oldest first.
 	Bindings []*Binding
 }
 
@@ -234,18 +241,18 @@
 type ProfileList struct {
 	// The configuration revision that was read.
 	Revision int64
-	// The lines.
+	// The profiles.
 	Profiles []*ProfileSummary
 }
 
 type ProfileSummary struct {
 	// The profile's name.
 	Name string
-	// The base revision of the next edit of the profile.
+	// The profile's revision, which is the base of its next edit.
 	Revision int64
 	// The number of routes.
 	Routes int
-	// The services that have the profile, in alphabetical order.
+	// The services that the profile is assigned to, in alphabetical order.
 	Services []string
 }
 
@@ -253,7 +260,7 @@
 type ProfileView struct {
 	// The profile's name.
 	Name string
-	// The base revision of the next edit of the profile.
+	// The profile's revision, which is the base of its next edit.
 	Revision int64
 	// The profile in the form of a profile file.
 	Document string
@@ -261,13 +268,13 @@
 
 // Receipt is the result type of the operator service apply_profile method.
 type Receipt struct {
-	// The edit's name.
+	// The edit's idempotency identifier.
 	Operation string
-	// The configuration revision that the edit made.
+	// The configuration revision that the edit created.
 	Revision int64
-	// The name of the key that was given or withdrawn.
+	// The public identifier of the key that was created or revoked.
 	Key *string
-	// The new key, which is shown in this answer only.
+	// The new key, which is in the response to the first request only.
 	Secret *string
 }
 
@@ -277,9 +284,9 @@
 	Instance string
 	// The leading control instance, empty when unknown.
 	Leader string
-	// How long ago the instance knew itself current with a quorum.
+	// How long ago the instance was known to be up to date with a quorum.
 	QuorumAgeMillis int64
-	// The newest accepted configuration that the instance knows.
+	// The newest accepted configuration revision that the instance has.
 	Revision int64
 	// The number of profiles.
 	Profiles int
@@ -287,7 +294,7 @@
 	Assignments int
 	// The number of keys in force.
 	Keys int
-	// The nodes in alphabetical order of services and instances.
+	// The nodes, sorted by service and instance.
 	Members []*Member
 }
 
@@ -320,10 +327,10 @@
 type WithdrawKeyPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's name; a resend under the same name gets the first answer. One is
-	// made when it is absent.
+	// The edit's idempotency identifier: a resend with the same one gets the first
+	// response. One is generated when it is absent.
 	Operation *string
-	// The key's public name.
+	// The key's public identifier.
 	Key string
 }
 
--- a/internal/wire/message/messages.go
+++ b/internal/wire/message/messages.go
@@ -5,19 +5,19 @@
 import "encoding/json"
 import "fmt"
 
-// Account is a customer as the routing table describes it; the key digests are in
-// hexadecimal.
+// Account is a customer as the routing table describes it.
 type Account struct {
 	// Customer corresponds to the JSON schema field "customer".
 	Customer string `json:"customer" msgpack:"customer"`
 
-	// Keys corresponds to the JSON schema field "keys".
+	// Keys are the digests of the customer's keys in hexadecimal.
 	Keys []string `json:"keys" msgpack:"keys"`
 
 	// Limit corresponds to the JSON schema field "limit".
 	Limit Limit `json:"limit" msgpack:"limit"`
 
-	// Priority corresponds to the JSON schema field "priority".
+	// Priority is the class of the customer's requests and overrides the route's;
+	// absent, the route's class applies.
 	Priority *int `json:"priority,omitempty,omitzero" msgpack:"priority,omitempty"`
 }
 
@@ -45,16 +45,17 @@
 	return nil
 }
 
-// Announcement is what a backend server tells the node beside it, again and again.
+// Announcement is what a backend server sends periodically to the node beside it.
 type Announcement struct {
-	// Address corresponds to the JSON schema field "address".
+	// Address is the IP address and port at which the backend server accepts
+	// requests.
 	Address string `json:"address" msgpack:"address"`
 
-	// Incarnation names one run of the backend server: a drain holds for the
-	// incarnation that asked for it.
+	// Incarnation identifies one run of the backend server: a drain ends when another
+	// incarnation or address is announced.
 	Incarnation *string `json:"incarnation,omitempty,omitzero" msgpack:"incarnation,omitempty"`
 
-	// Slots corresponds to the JSON schema field "slots".
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots int `json:"slots" msgpack:"slots"`
 }
 
@@ -79,12 +80,12 @@
 	return nil
 }
 
-// Assignment gives a service its profile.
+// Assignment binds a service to a profile.
 type Assignment struct {
 	// Profile corresponds to the JSON schema field "profile".
 	Profile string `json:"profile" msgpack:"profile"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision that last changed the assignment.
 	Revision int `json:"revision" msgpack:"revision"`
 
 	// Service corresponds to the JSON schema field "service".
@@ -115,27 +116,29 @@
 	return nil
 }
 
-// Binding is a limit that now holds requests back at a node.
+// Binding is a limit that currently holds requests back at a node.
 type Binding struct {
-	// Count corresponds to the JSON schema field "count".
+	// Count is the number of refusals since then.
 	Count int `json:"count" msgpack:"count"`
 
-	// Customer corresponds to the JSON schema field "customer".
+	// Customer is whose requests are held back, empty on open routes and where all
+	// are.
 	Customer string `json:"customer" msgpack:"customer"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind is the limit's kind, such as concurrency or retry-share.
 	Kind string `json:"kind" msgpack:"kind"`
 
-	// Limit corresponds to the JSON schema field "limit".
+	// Limit is the value of the limit, in the unit of its kind.
 	Limit float64 `json:"limit" msgpack:"limit"`
 
-	// Place corresponds to the JSON schema field "place".
+	// Place is the route or member at which the limit applies, empty for the whole
+	// service.
 	Place string `json:"place" msgpack:"place"`
 
-	// Service corresponds to the JSON schema field "service".
+	// Service is the service whose calls are held back.
 	Service string `json:"service" msgpack:"service"`
 
-	// SinceMillis corresponds to the JSON schema field "sinceMillis".
+	// SinceMillis is how long ago the limit began to hold requests back.
 	SinceMillis int `json:"sinceMillis" msgpack:"sinceMillis"`
 }
 
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// CatalogState is a snapshot of the catalog with the answers to recent operations,
+// CatalogState is a snapshot of the catalog with the results of recent operations,
 // oldest first.
 type CatalogState struct {
 	// Answers corresponds to the JSON schema field "answers".
@@ -206,7 +209,7 @@
 	return nil
 }
 
-// Configuration is everything that operators have accepted, at one revision.
+// Configuration is everything that operators have configured, at one revision.
 type Configuration struct {
 	// Assignments corresponds to the JSON schema field "assignments".
 	Assignments []Assignment `json:"assignments" msgpack:"assignments"`
@@ -226,7 +229,7 @@
 
 // ConfigurationDelta is what changed between two revisions of the configuration.
 type ConfigurationDelta struct {
-	// Base corresponds to the JSON schema field "base".
+	// Base is the revision that the delta applies to.
 	Base int `json:"base" msgpack:"base"`
 
 	// Changed corresponds to the JSON schema field "changed".
@@ -293,9 +296,9 @@
 	return nil
 }
 
-// ControlPlace says where a control instance takes messages.
+// ControlPlace is the address and location of a control instance.
 type ControlPlace struct {
-	// Address corresponds to the JSON schema field "address".
+	// Address is the IP address and port at which it accepts messages.
 	Address string `json:"address" msgpack:"address"`
 
 	// DataCentre corresponds to the JSON schema field "dataCentre".
@@ -331,7 +334,8 @@
 
 // Edit is one operator's change to the configuration.
 type Edit struct {
-	// Base corresponds to the JSON schema field "base".
+	// Base is the revision of the edited object that the operator saw, 0 to create
+	// it; for a table it is the number of the current one.
 	Base int `json:"base" msgpack:"base"`
 
 	// Key corresponds to the JSON schema field "key".
@@ -343,7 +347,7 @@
 	// Kind corresponds to the JSON schema field "kind".
 	Kind string `json:"kind" msgpack:"kind"`
 
-	// Operation corresponds to the JSON schema field "operation".
+	// Operation is the edit's idempotency identifier; a resend carries the same one.
 	Operation string `json:"operation" msgpack:"operation"`
 
 	// Profile corresponds to the JSON schema field "profile".
@@ -359,8 +363,8 @@
 	Table *Table `json:"table,omitempty,omitzero" msgpack:"table,omitempty"`
 }
 
-// EditAnswer is the remembered answer to one edit; the revision is the edit's own
-// or, in a conflict, the winner's.
+// EditAnswer is the stored result of one edit, which a resend of the edit gets
+// again.
 type EditAnswer struct {
 	// Detail corresponds to the JSON schema field "detail".
 	Detail string `json:"detail" msgpack:"detail"`
@@ -368,16 +372,18 @@
 	// KeyId corresponds to the JSON schema field "keyId".
 	KeyId string `json:"keyId" msgpack:"keyId"`
 
-	// Operation corresponds to the JSON schema field "operation".
+	// Operation is the edit's idempotency identifier.
 	Operation string `json:"operation" msgpack:"operation"`
 
-	// Outcome corresponds to the JSON schema field "outcome".
+	// Outcome is accepted, conflict or invalid.
 	Outcome string `json:"outcome" msgpack:"outcome"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is that of the accepted edit or, in a conflict, that of the edit that
+	// won.
 	Revision int `json:"revision" msgpack:"revision"`
 
-	// Subject corresponds to the JSON schema field "subject".
+	// Subject identifies the content of the edit and tells a resend from another edit
+	// under the same operation.
 	Subject string `json:"subject" msgpack:"subject"`
 }
 
@@ -438,45 +444,48 @@
 	return nil
 }
 
-// Envelope carries the facts of a whole request from node to node.
+// Envelope carries the metadata of a request from node to node.
 type Envelope struct {
-	// Budget corresponds to the JSON schema field "budget".
+	// Budget is the number of extra attempts left to this part of the call tree.
 	Budget int `json:"budget" msgpack:"budget"`
 
-	// CallerService corresponds to the JSON schema field "callerService".
+	// CallerService is the service whose instance the request began at, empty for a
+	// request from outside.
 	CallerService string `json:"callerService" msgpack:"callerService"`
 
-	// Customer corresponds to the JSON schema field "customer".
+	// Customer is the owner of the key that came with the request, empty when the
+	// route needs none.
 	Customer string `json:"customer" msgpack:"customer"`
 
-	// Depth corresponds to the JSON schema field "depth".
+	// Depth is the number of hops before this one.
 	Depth int `json:"depth" msgpack:"depth"`
 
-	// IdempotencyKey corresponds to the JSON schema field "idempotencyKey".
+	// IdempotencyKey is the caller's identifier of a non-idempotent request, empty
+	// when it gave none.
 	IdempotencyKey string `json:"idempotencyKey" msgpack:"idempotencyKey"`
 
-	// Idempotent corresponds to the JSON schema field "idempotent".
+	// Idempotent is true when this hop's request may run twice without harm.
 	Idempotent bool `json:"idempotent" msgpack:"idempotent"`
 
-	// KeyDigest corresponds to the JSON schema field "keyDigest".
+	// KeyDigest is the SHA-256 digest of the customer's key, as raw bytes.
 	KeyDigest string `json:"keyDigest" msgpack:"keyDigest"`
 
-	// Priority corresponds to the JSON schema field "priority".
+	// Priority is the class that the first route gave the request.
 	Priority int `json:"priority" msgpack:"priority"`
 
-	// Rank corresponds to the JSON schema field "rank".
+	// Rank orders requests for load shedding; the lowest is shed last.
 	Rank int `json:"rank" msgpack:"rank"`
 
-	// RemainingMicros corresponds to the JSON schema field "remainingMicros".
+	// RemainingMicros is the time left until the deadline of the whole request.
 	RemainingMicros int `json:"remainingMicros" msgpack:"remainingMicros"`
 
-	// RequestId corresponds to the JSON schema field "requestId".
+	// RequestId identifies the whole request at every hop.
 	RequestId string `json:"requestId" msgpack:"requestId"`
 
-	// Route corresponds to the JSON schema field "route".
+	// Route is the method and path of the service's route that the call takes.
 	Route string `json:"route" msgpack:"route"`
 
-	// Service corresponds to the JSON schema field "service".
+	// Service is the service that this hop calls.
 	Service string `json:"service" msgpack:"service"`
 }
 
@@ -534,7 +543,8 @@
 	return nil
 }
 
-// Explanation is the limits that now hold requests back at a node, oldest first.
+// Explanation lists the limits that currently hold requests back at a node, oldest
+// first.
 type Explanation struct {
 	// Bindings corresponds to the JSON schema field "bindings".
 	Bindings []Binding `json:"bindings" msgpack:"bindings"`
@@ -561,34 +571,34 @@
 // HostRoute states where the requests to a host and path prefix go, and how they
 // are treated.
 type HostRoute struct {
-	// Attempts corresponds to the JSON schema field "attempts".
+	// Attempts is the maximum number of backend servers that one request is sent to.
 	Attempts int `json:"attempts" msgpack:"attempts"`
 
 	// Host corresponds to the JSON schema field "host".
 	Host string `json:"host" msgpack:"host"`
 
-	// Idempotent corresponds to the JSON schema field "idempotent".
+	// Idempotent is true when a request may run more than once.
 	Idempotent bool `json:"idempotent" msgpack:"idempotent"`
 
 	// Name corresponds to the JSON schema field "name".
 	Name string `json:"name" msgpack:"name"`
 
-	// Open corresponds to the JSON schema field "open".
+	// Open is true when a request needs no customer key.
 	Open bool `json:"open" msgpack:"open"`
 
 	// Parts corresponds to the JSON schema field "parts".
 	Parts []RoutePart `json:"parts" msgpack:"parts"`
 
-	// Prefix corresponds to the JSON schema field "prefix".
+	// Prefix begins and ends with a slash.
 	Prefix string `json:"prefix" msgpack:"prefix"`
 
-	// Priority corresponds to the JSON schema field "priority".
+	// Priority is the priority class, from 0, which is shed last, to 9.
 	Priority int `json:"priority" msgpack:"priority"`
 
-	// TargetMillis corresponds to the JSON schema field "targetMillis".
+	// TargetMillis is the latency below which a response is worth most to its caller.
 	TargetMillis int `json:"targetMillis" msgpack:"targetMillis"`
 
-	// TimeoutMillis corresponds to the JSON schema field "timeoutMillis".
+	// TimeoutMillis bounds the time until a request has its final response.
 	TimeoutMillis int `json:"timeoutMillis" msgpack:"timeoutMillis"`
 }
 
@@ -637,18 +647,18 @@
 	return nil
 }
 
-// Key is a customer key without its secret; the digest is in hexadecimal.
+// Key is a customer key without its secret.
 type Key struct {
 	// Customer corresponds to the JSON schema field "customer".
 	Customer string `json:"customer" msgpack:"customer"`
 
-	// Digest corresponds to the JSON schema field "digest".
+	// Digest is the SHA-256 digest of the secret in hexadecimal.
 	Digest string `json:"digest" msgpack:"digest"`
 
-	// Id corresponds to the JSON schema field "id".
+	// Id is the key's public identifier.
 	Id string `json:"id" msgpack:"id"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision that added the key.
 	Revision int `json:"revision" msgpack:"revision"`
 }
 
@@ -679,12 +689,12 @@
 	return nil
 }
 
-// Limit is a customer's rate in requests per second and burst in requests.
+// Limit is a customer's token-bucket limit over the whole fleet.
 type Limit struct {
-	// Burst corresponds to the JSON schema field "burst".
+	// Burst is in requests.
 	Burst float64 `json:"burst" msgpack:"burst"`
 
-	// Rate corresponds to the JSON schema field "rate".
+	// Rate is in requests per second.
 	Rate float64 `json:"rate" msgpack:"rate"`
 }
 
@@ -709,33 +719,35 @@
 	return nil
 }
 
-// Member is a node with the backend server that it runs beside.
+// Member is a node and the backend server beside it, as the node announces them.
 type Member struct {
 	// DataCentre corresponds to the JSON schema field "dataCentre".
 	DataCentre string `json:"dataCentre" msgpack:"dataCentre"`
 
-	// Draining corresponds to the JSON schema field "draining".
+	// Draining is true when the member accepts no new requests.
 	Draining bool `json:"draining" msgpack:"draining"`
 
-	// Instance corresponds to the JSON schema field "instance".
+	// Instance is the node's name.
 	Instance string `json:"instance" msgpack:"instance"`
 
-	// MessageAddress corresponds to the JSON schema field "messageAddress".
+	// MessageAddress is the IP address and port at which the node accepts messages.
 	MessageAddress string `json:"messageAddress" msgpack:"messageAddress"`
 
-	// PeerAddress corresponds to the JSON schema field "peerAddress".
+	// PeerAddress is the IP address and port at which the node accepts calls from
+	// other nodes.
 	PeerAddress string `json:"peerAddress" msgpack:"peerAddress"`
 
 	// Region corresponds to the JSON schema field "region".
 	Region string `json:"region" msgpack:"region"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence orders the announcements of one instance; the highest is the newest.
 	Sequence int `json:"sequence" msgpack:"sequence"`
 
 	// Service corresponds to the JSON schema field "service".
 	Service string `json:"service" msgpack:"service"`
 
-	// Slots corresponds to the JSON schema field "slots".
+	// Slots is the number of requests that the backend server runs concurrently, by
+	// its own announcement.
 	Slots int `json:"slots" msgpack:"slots"`
 }
 
@@ -781,15 +793,15 @@
 	return nil
 }
 
-// MembersAnswer brings the members that changed.
+// MembersAnswer is the answer to a MembersPoll.
 type MembersAnswer struct {
 	// DataCentre corresponds to the JSON schema field "dataCentre".
 	DataCentre string `json:"dataCentre" msgpack:"dataCentre"`
 
-	// Full corresponds to the JSON schema field "full".
+	// Full is true when the members are the complete list and not only what changed.
 	Full bool `json:"full" msgpack:"full"`
 
-	// Gone corresponds to the JSON schema field "gone".
+	// Gone lists the instances that are no longer members.
 	Gone []string `json:"gone,omitempty,omitzero" msgpack:"gone,omitempty"`
 
 	// MemberVersion corresponds to the JSON schema field "memberVersion".
@@ -835,16 +847,17 @@
 	return nil
 }
 
-// MembersPoll asks a control instance for the members that announced themselves to
-// it since a version.
+// MembersPoll asks another control instance for the members that announced
+// themselves to it since a version.
 type MembersPoll struct {
 	// MemberVersion corresponds to the JSON schema field "memberVersion".
 	MemberVersion int `json:"memberVersion" msgpack:"memberVersion"`
 
-	// Registry corresponds to the JSON schema field "registry".
+	// Registry identifies the registry that the member version belongs to.
 	Registry string `json:"registry" msgpack:"registry"`
 
-	// WaitMillis corresponds to the JSON schema field "waitMillis".
+	// WaitMillis is how long the control instance may wait for a change before it
+	// answers.
 	WaitMillis int `json:"waitMillis" msgpack:"waitMillis"`
 }
 
@@ -883,10 +896,12 @@
 	// Member corresponds to the JSON schema field "member".
 	Member Member `json:"member" msgpack:"member"`
 
-	// MemberVersion corresponds to the JSON schema field "memberVersion".
+	// MemberVersion is the newest version of the members that the node has from the
+	// registry.
 	MemberVersion int `json:"memberVersion" msgpack:"memberVersion"`
 
-	// Registry corresponds to the JSON schema field "registry".
+	// Registry identifies the registry that the member version belongs to; versions
+	// of different registries cannot be compared.
 	Registry string `json:"registry" msgpack:"registry"`
 
 	// Revision corresponds to the JSON schema field "revision".
@@ -895,26 +910,27 @@
 	// Services corresponds to the JSON schema field "services".
 	Services []string `json:"services" msgpack:"services"`
 
-	// WaitMillis corresponds to the JSON schema field "waitMillis".
+	// WaitMillis is how long the control instance may wait for a change before it
+	// answers.
 	WaitMillis int `json:"waitMillis" msgpack:"waitMillis"`
 }
 
-// PollAnswer brings what has changed and how long ago the control instance knew
-// itself current with a quorum.
+// PollAnswer is the answer to a Poll: what has changed, and how fresh it is.
 type PollAnswer struct {
 	// Configuration corresponds to the JSON schema field "configuration".
 	Configuration *Configuration `json:"configuration,omitempty,omitzero" msgpack:"configuration,omitempty"`
 
-	// Controls corresponds to the JSON schema field "controls".
+	// Controls lists the control instances that the answering one knows, itself
+	// included.
 	Controls []ControlPlace `json:"controls" msgpack:"controls"`
 
 	// Delta corresponds to the JSON schema field "delta".
 	Delta *ConfigurationDelta `json:"delta,omitempty,omitzero" msgpack:"delta,omitempty"`
 
-	// Full corresponds to the JSON schema field "full".
+	// Full is true when the members are the complete list and not only what changed.
 	Full bool `json:"full" msgpack:"full"`
 
-	// Gone corresponds to the JSON schema field "gone".
+	// Gone lists the instances that are no longer members.
 	Gone []string `json:"gone,omitempty,omitzero" msgpack:"gone,omitempty"`
 
 	// MemberVersion corresponds to the JSON schema field "memberVersion".
@@ -923,19 +939,21 @@
 	// Members corresponds to the JSON schema field "members".
 	Members []Member `json:"members,omitempty,omitzero" msgpack:"members,omitempty"`
 
-	// Nodes corresponds to the JSON schema field "nodes".
+	// Nodes is the number of members at all control instances.
 	Nodes int `json:"nodes" msgpack:"nodes"`
 
-	// QuorumAgeMillis corresponds to the JSON schema field "quorumAgeMillis".
+	// QuorumAgeMillis is how long ago the control instance was known to be up to date
+	// with a quorum, rounded up.
 	QuorumAgeMillis int `json:"quorumAgeMillis" msgpack:"quorumAgeMillis"`
 
-	// Registry corresponds to the JSON schema field "registry".
+	// Registry identifies the registry that the member version belongs to.
 	Registry string `json:"registry" msgpack:"registry"`
 
 	// Revision corresponds to the JSON schema field "revision".
 	Revision int `json:"revision" msgpack:"revision"`
 
-	// Settled corresponds to the JSON schema field "settled".
+	// Settled is true when the registry has run long enough for every live member to
+	// have announced itself.
 	Settled bool `json:"settled" msgpack:"settled"`
 }
 
@@ -1014,19 +1032,19 @@
 	return nil
 }
 
-// PoolAnswer gives a token, or says how long it takes until there is one.
+// PoolAnswer grants a token or says when to ask again.
 type PoolAnswer struct {
 	// Granted corresponds to the JSON schema field "granted".
 	Granted bool `json:"granted" msgpack:"granted"`
 
-	// Idle says that the control instance spends nothing yet, as it does not know the
-	// nodes that poll it.
+	// Idle is true while the control instance grants nothing because it does not yet
+	// know which nodes poll it.
 	Idle bool `json:"idle" msgpack:"idle"`
 
-	// Paid is the number of the owed tokens that the pool had.
+	// Paid is the number of owed tokens that the pool deducted.
 	Paid int `json:"paid" msgpack:"paid"`
 
-	// WaitMillis corresponds to the JSON schema field "waitMillis".
+	// WaitMillis is the time until the pool has a token, when none is granted.
 	WaitMillis int `json:"waitMillis" msgpack:"waitMillis"`
 }
 
@@ -1062,11 +1080,11 @@
 	// Customer corresponds to the JSON schema field "customer".
 	Customer string `json:"customer" msgpack:"customer"`
 
-	// Nodes is the number of nodes of all services that the node counts.
+	// Nodes is the number of nodes of all services that the node knows of.
 	Nodes int `json:"nodes" msgpack:"nodes"`
 
-	// Owed is the number of tokens that the node spent on the pool's account while no
-	// pool answered.
+	// Owed is the number of tokens that the node spent while no pool answered and
+	// that the pool has yet to deduct.
 	Owed int `json:"owed" msgpack:"owed"`
 }
 
@@ -1094,13 +1112,12 @@
 	return nil
 }
 
-// Profile states how much each customer may ask of a service and what matters
-// most.
+// Profile holds the routes, customer limits and retry policy of a service.
 type Profile struct {
 	// DefaultLimit corresponds to the JSON schema field "defaultLimit".
 	DefaultLimit Limit `json:"defaultLimit" msgpack:"defaultLimit"`
 
-	// Limits corresponds to the JSON schema field "limits".
+	// Limits replace the default limit for the customers that they are keyed by.
 	Limits ProfileLimits `json:"limits,omitempty,omitzero" msgpack:"limits,omitempty"`
 
 	// Name corresponds to the JSON schema field "name".
@@ -1109,7 +1126,7 @@
 	// Retry corresponds to the JSON schema field "retry".
 	Retry Retry `json:"retry" msgpack:"retry"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision that last changed the profile.
 	Revision int `json:"revision" msgpack:"revision"`
 
 	// Routes corresponds to the JSON schema field "routes".
@@ -1119,6 +1136,7 @@
 	Weights ProfileWeights `json:"weights,omitempty,omitzero" msgpack:"weights,omitempty"`
 }
 
+// Limits replace the default limit for the customers that they are keyed by.
 type ProfileLimits map[string]Limit
 
 type ProfileWeights map[string]float64
@@ -1153,15 +1171,15 @@
 	return nil
 }
 
-// Refusal is the body of a refusal.
+// Refusal is the body of a response that refuses a request.
 type Refusal struct {
 	// Message corresponds to the JSON schema field "message".
 	Message string `json:"message" msgpack:"message"`
 
-	// NotRun corresponds to the JSON schema field "notRun".
+	// NotRun is true when no backend server ran any part of the request.
 	NotRun bool `json:"notRun" msgpack:"notRun"`
 
-	// Reason corresponds to the JSON schema field "reason".
+	// Reason is the machine-readable reason.
 	Reason string `json:"reason" msgpack:"reason"`
 }
 
@@ -1189,24 +1207,24 @@
 	return nil
 }
 
-// ReplicaEntry is one entry of the replicated log; the command is in base64.
+// ReplicaEntry is one entry of the replicated log.
 type ReplicaEntry struct {
-	// Command corresponds to the JSON schema field "command".
+	// Command is in base64.
 	Command string `json:"command" msgpack:"command"`
 
-	// Index corresponds to the JSON schema field "index".
+	// Index is the entry's position in the log, from 1.
 	Index int `json:"index" msgpack:"index"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind is command or members.
 	Kind string `json:"kind" msgpack:"kind"`
 
-	// Members corresponds to the JSON schema field "members".
+	// Members is the new membership in an entry of the kind members.
 	Members []ReplicaMember `json:"members" msgpack:"members"`
 
-	// Proposal corresponds to the JSON schema field "proposal".
+	// Proposal is the proposer's identifier of the command.
 	Proposal string `json:"proposal" msgpack:"proposal"`
 
-	// Term corresponds to the JSON schema field "term".
+	// Term is the term of the leader that appended the entry.
 	Term int `json:"term" msgpack:"term"`
 }
 
@@ -1243,7 +1261,8 @@
 	return nil
 }
 
-// ReplicaIdentity names the incarnation that owns a data folder.
+// ReplicaIdentity identifies the incarnation of a control instance that owns a
+// data folder.
 type ReplicaIdentity struct {
 	// Incarnation corresponds to the JSON schema field "incarnation".
 	Incarnation string `json:"incarnation" msgpack:"incarnation"`
@@ -1281,7 +1300,7 @@
 	// Id corresponds to the JSON schema field "id".
 	Id string `json:"id" msgpack:"id"`
 
-	// Voter corresponds to the JSON schema field "voter".
+	// Voter is true when the member's vote counts towards a quorum.
 	Voter bool `json:"voter" msgpack:"voter"`
 }
 
@@ -1309,34 +1328,35 @@
 	return nil
 }
 
-// ReplicaMessage is a message between two members of the replicated log; the part
-// is in base64 and an unknown quorum age is negative.
+// ReplicaMessage is a message between two members of the replicated log.
 type ReplicaMessage struct {
-	// Answered corresponds to the JSON schema field "answered".
+	// Answered is the highest sequence that the receiver has answered to the leader.
 	Answered int `json:"answered" msgpack:"answered"`
 
-	// Cluster corresponds to the JSON schema field "cluster".
+	// Cluster identifies the log.
 	Cluster string `json:"cluster" msgpack:"cluster"`
 
-	// Commit corresponds to the JSON schema field "commit".
+	// Commit is the last entry that the leader knows to be committed.
 	Commit int `json:"commit" msgpack:"commit"`
 
 	// Entries corresponds to the JSON schema field "entries".
 	Entries []ReplicaEntry `json:"entries" msgpack:"entries"`
 
-	// Force corresponds to the JSON schema field "force".
+	// Force is true when the leader told the candidate to take over.
 	Force bool `json:"force" msgpack:"force"`
 
 	// From corresponds to the JSON schema field "from".
 	From string `json:"from" msgpack:"from"`
 
-	// Granted corresponds to the JSON schema field "granted".
+	// Granted is true when an answer grants a vote or accepts an append or a whole
+	// snapshot.
 	Granted bool `json:"granted" msgpack:"granted"`
 
-	// Index corresponds to the JSON schema field "index".
+	// Index is the last entry of a candidate, the entry before those of an append,
+	// the end of a snapshot, or in an answer the last entry known to match.
 	Index int `json:"index" msgpack:"index"`
 
-	// IndexTerm corresponds to the JSON schema field "indexTerm".
+	// IndexTerm is the term of the entry at index.
 	IndexTerm int `json:"indexTerm" msgpack:"indexTerm"`
 
 	// Kind corresponds to the JSON schema field "kind".
@@ -1345,28 +1365,30 @@
 	// Members corresponds to the JSON schema field "members".
 	Members []ReplicaMember `json:"members" msgpack:"members"`
 
-	// Offset corresponds to the JSON schema field "offset".
+	// Offset is the position of a part of a snapshot or, in an answer, the number of
+	// bytes received.
 	Offset int `json:"offset" msgpack:"offset"`
 
-	// Part corresponds to the JSON schema field "part".
+	// Part is a part of a snapshot in base64.
 	Part string `json:"part" msgpack:"part"`
 
-	// QuorumAgeMicros corresponds to the JSON schema field "quorumAgeMicros".
+	// QuorumAgeMicros is how long ago, when the message was sent, a quorum was known
+	// to follow the leader; it is negative when unknown.
 	QuorumAgeMicros int `json:"quorumAgeMicros" msgpack:"quorumAgeMicros"`
 
-	// ReplyTo corresponds to the JSON schema field "replyTo".
+	// ReplyTo is the sender's IP address and port.
 	ReplyTo string `json:"replyTo" msgpack:"replyTo"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence numbers the messages of a leader to one member in one term.
 	Sequence int `json:"sequence" msgpack:"sequence"`
 
-	// Term corresponds to the JSON schema field "term".
+	// Term is the sender's term, or the term that a candidate asks for.
 	Term int `json:"term" msgpack:"term"`
 
-	// To corresponds to the JSON schema field "to".
+	// To is the receiver; another incarnation of it must not handle the message.
 	To string `json:"to" msgpack:"to"`
 
-	// Total corresponds to the JSON schema field "total".
+	// Total is the size of the whole snapshot in bytes.
 	Total int `json:"total" msgpack:"total"`
 }
 
@@ -1442,15 +1464,15 @@
 	return nil
 }
 
-// ReplicaProbe asks a control instance what it is.
+// ReplicaProbe asks a control instance for its ReplicaStatus.
 type ReplicaProbe map[string]interface{}
 
-// ReplicaProposal forwards a command to the leader; the command is in base64.
+// ReplicaProposal forwards a command to the leader.
 type ReplicaProposal struct {
-	// Command corresponds to the JSON schema field "command".
+	// Command is in base64.
 	Command string `json:"command" msgpack:"command"`
 
-	// Proposal corresponds to the JSON schema field "proposal".
+	// Proposal is the proposer's identifier of the command.
 	Proposal string `json:"proposal" msgpack:"proposal"`
 }
 
@@ -1475,7 +1497,7 @@
 	return nil
 }
 
-// ReplicaReceived says that a message between members arrived.
+// ReplicaReceived acknowledges a ReplicaMessage.
 type ReplicaReceived map[string]interface{}
 
 // ReplicaRecord is one durable write of a member of the replicated log.
@@ -1487,7 +1509,7 @@
 	State *ReplicaState `json:"state,omitempty,omitzero" msgpack:"state,omitempty"`
 }
 
-// ReplicaRemoval asks the leader to take a control instance out for good.
+// ReplicaRemoval asks the leader to remove a control instance permanently.
 type ReplicaRemoval struct {
 	// Instance corresponds to the JSON schema field "instance".
 	Instance string `json:"instance" msgpack:"instance"`
@@ -1511,13 +1533,13 @@
 	return nil
 }
 
-// ReplicaSegment opens a file of the replicated log and names the snapshot before
-// its entries.
+// ReplicaSegment is the header of a file of the replicated log.
 type ReplicaSegment struct {
 	// Number corresponds to the JSON schema field "number".
 	Number int `json:"number" msgpack:"number"`
 
-	// Snapshot corresponds to the JSON schema field "snapshot".
+	// Snapshot is the index of the snapshot that precedes the file's entries, 0 for
+	// none.
 	Snapshot int `json:"snapshot" msgpack:"snapshot"`
 }
 
@@ -1542,19 +1564,18 @@
 	return nil
 }
 
-// ReplicaSnapshot is the state after a prefix of the replicated log; the data is
-// in base64.
+// ReplicaSnapshot is the state after a prefix of the replicated log.
 type ReplicaSnapshot struct {
-	// Data corresponds to the JSON schema field "data".
+	// Data is the snapshot of the state machines in base64.
 	Data string `json:"data" msgpack:"data"`
 
-	// Index corresponds to the JSON schema field "index".
+	// Index is the last entry that the snapshot includes.
 	Index int `json:"index" msgpack:"index"`
 
-	// Members corresponds to the JSON schema field "members".
+	// Members is the membership in force at that entry.
 	Members []ReplicaMember `json:"members" msgpack:"members"`
 
-	// Term corresponds to the JSON schema field "term".
+	// Term is the term of that entry.
 	Term int `json:"term" msgpack:"term"`
 }
 
@@ -1585,16 +1606,16 @@
 	return nil
 }
 
-// ReplicaState is what a member of the replicated log must not forget besides its
+// ReplicaState is what a member of the replicated log must persist besides its
 // entries.
 type ReplicaState struct {
-	// Cluster corresponds to the JSON schema field "cluster".
+	// Cluster identifies the log.
 	Cluster string `json:"cluster" msgpack:"cluster"`
 
 	// Term corresponds to the JSON schema field "term".
 	Term int `json:"term" msgpack:"term"`
 
-	// Vote corresponds to the JSON schema field "vote".
+	// Vote is the member voted for in the term, empty for none.
 	Vote string `json:"vote" msgpack:"vote"`
 }
 
@@ -1622,13 +1643,12 @@
 	return nil
 }
 
-// ReplicaStatus says what a control instance is; the cluster is empty when its
-// data folder is new.
+// ReplicaStatus describes a control instance as a member of the replicated log.
 type ReplicaStatus struct {
-	// Cluster corresponds to the JSON schema field "cluster".
+	// Cluster identifies the log, empty while the data folder is new.
 	Cluster string `json:"cluster" msgpack:"cluster"`
 
-	// Founder corresponds to the JSON schema field "founder".
+	// Founder is true when the instance may take part in creating a new log.
 	Founder bool `json:"founder" msgpack:"founder"`
 
 	// Leader corresponds to the JSON schema field "leader".
@@ -1671,18 +1691,19 @@
 	return nil
 }
 
-// ReplicaVerdict says whether the leader took a request, and who leads if not.
+// ReplicaVerdict says whether a member accepted a request as leader and, if not,
+// where the leader is.
 type ReplicaVerdict struct {
-	// Address corresponds to the JSON schema field "address".
+	// Address is the leader's IP address and port, empty when unknown.
 	Address string `json:"address" msgpack:"address"`
 
-	// Detail corresponds to the JSON schema field "detail".
+	// Detail is the reason why the request was not accepted.
 	Detail string `json:"detail" msgpack:"detail"`
 
-	// Leader corresponds to the JSON schema field "leader".
+	// Leader is the name of the leading control instance, empty when unknown.
 	Leader string `json:"leader" msgpack:"leader"`
 
-	// Taken corresponds to the JSON schema field "taken".
+	// Taken is true when the request was accepted.
 	Taken bool `json:"taken" msgpack:"taken"`
 }
 
@@ -1713,16 +1734,18 @@
 	return nil
 }
 
-// Retry states how hard requests may be retried.
+// Retry is the retry policy of a profile.
 type Retry struct {
-	// CallerIntervalMillis corresponds to the JSON schema field
-	// "callerIntervalMillis".
+	// CallerIntervalMillis is the minimum time between a caller's attempts under one
+	// idempotency key.
 	CallerIntervalMillis int `json:"callerIntervalMillis" msgpack:"callerIntervalMillis"`
 
-	// Share corresponds to the JSON schema field "share".
+	// Share is the maximum number of retries per first attempt, for each customer and
+	// service.
 	Share float64 `json:"share" msgpack:"share"`
 
-	// TreeBudget corresponds to the JSON schema field "treeBudget".
+	// TreeBudget is the number of extra attempts over the whole call tree of a
+	// request.
 	TreeBudget int `json:"treeBudget" msgpack:"treeBudget"`
 }
 
@@ -1752,22 +1775,22 @@
 
 // Route states how a profile treats the requests of one method and path.
 type Route struct {
-	// DeadlineMillis corresponds to the JSON schema field "deadlineMillis".
+	// DeadlineMillis bounds the whole request, with the calls that it causes.
 	DeadlineMillis int `json:"deadlineMillis" msgpack:"deadlineMillis"`
 
-	// Idempotent corresponds to the JSON schema field "idempotent".
+	// Idempotent is true when running a request twice does no harm.
 	Idempotent bool `json:"idempotent" msgpack:"idempotent"`
 
-	// Method corresponds to the JSON schema field "method".
+	// Method is the HTTP method, or "*" for all.
 	Method string `json:"method" msgpack:"method"`
 
-	// Open corresponds to the JSON schema field "open".
+	// Open is true when a request needs no customer key.
 	Open bool `json:"open" msgpack:"open"`
 
-	// Path corresponds to the JSON schema field "path".
+	// Path is an exact path, or a prefix when it ends in "/*".
 	Path string `json:"path" msgpack:"path"`
 
-	// Priority corresponds to the JSON schema field "priority".
+	// Priority is the priority class, from 0, which is shed last, to 9.
 	Priority int `json:"priority" msgpack:"priority"`
 }
 
@@ -1776,7 +1799,7 @@
 	// Service corresponds to the JSON schema field "service".
 	Service string `json:"service" msgpack:"service"`
 
-	// Weight corresponds to the JSON schema field "weight".
+	// Weight is relative to the weights of the route's other parts.
 	Weight float64 `json:"weight" msgpack:"weight"`
 }
 
@@ -1834,31 +1857,35 @@
 	return nil
 }
 
-// Table is the routing table; the document is the operator's own text in base64,
-// which nodes are not sent.
+// Table is the routing table.
 type Table struct {
 	// Accounts corresponds to the JSON schema field "accounts".
 	Accounts []Account `json:"accounts" msgpack:"accounts"`
 
-	// BodyBytes corresponds to the JSON schema field "bodyBytes".
+	// BodyBytes is the maximum size of a request's body, 0 for no limit.
 	BodyBytes int `json:"bodyBytes" msgpack:"bodyBytes"`
 
-	// Document corresponds to the JSON schema field "document".
+	// Document is the text that the operator submitted, in base64; it is not sent to
+	// nodes.
 	Document *string `json:"document,omitempty,omitzero" msgpack:"document,omitempty"`
 
-	// HeaderBytes corresponds to the JSON schema field "headerBytes".
+	// HeaderBytes is the maximum size of a request's header, 0 for the listener's
+	// default.
 	HeaderBytes int `json:"headerBytes" msgpack:"headerBytes"`
 
-	// HeaderTimeoutMillis corresponds to the JSON schema field "headerTimeoutMillis".
+	// HeaderTimeoutMillis is how long a caller may take to send a header, 0 for the
+	// listener's default.
 	HeaderTimeoutMillis int `json:"headerTimeoutMillis" msgpack:"headerTimeoutMillis"`
 
-	// IdleTimeoutMillis corresponds to the JSON schema field "idleTimeoutMillis".
+	// IdleTimeoutMillis is how long a caller's connection may be idle, 0 for the
+	// listener's default.
 	IdleTimeoutMillis int `json:"idleTimeoutMillis" msgpack:"idleTimeoutMillis"`
 
-	// Number corresponds to the JSON schema field "number".
+	// Number is the operator's version number of the table, which increases with each
+	// one.
 	Number int `json:"number" msgpack:"number"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision that installed the table.
 	Revision int `json:"revision" msgpack:"revision"`
 
 	// Routes corresponds to the JSON schema field "routes".
@@ -1870,10 +1897,11 @@
 
 // TableService is a service as the routing table describes it.
 type TableService struct {
-	// HealthPath corresponds to the JSON schema field "healthPath".
+	// HealthPath is the path at which a backend server reports its health.
 	HealthPath string `json:"healthPath" msgpack:"healthPath"`
 
-	// MaxConnections corresponds to the JSON schema field "maxConnections".
+	// MaxConnections is the maximum number of connections that a backend server
+	// accepts from all nodes together.
 	MaxConnections int `json:"maxConnections" msgpack:"maxConnections"`
 
 	// Name corresponds to the JSON schema field "name".
@@ -1946,9 +1974,9 @@
 	return nil
 }
 
-// TransferAnswer gives tokens away.
+// TransferAnswer transfers tokens to the control instance that asked.
 type TransferAnswer struct {
-	// Tokens corresponds to the JSON schema field "tokens".
+	// Tokens is the number transferred, 0 when there are none to spare.
 	Tokens int `json:"tokens" msgpack:"tokens"`
 }
 
@@ -1970,8 +1998,8 @@
 	return nil
 }
 
-// TransferAsk asks another control instance for tokens of a customer's limit that
-// it can spare.
+// TransferAsk asks another control instance for spare tokens of a customer's
+// limit.
 type TransferAsk struct {
 	// Customer corresponds to the JSON schema field "customer".
 	Customer string `json:"customer" msgpack:"customer"`
