--- a/internal/wire/message/shards.go
+++ b/internal/wire/message/shards.go
@@ -5,16 +5,17 @@
 import "encoding/json"
 import "fmt"
 
-// ClaimAnswer is a primary's answer; acting is false when the asked member does
-// not act for the shard.
+// ClaimAnswer is a primary's answer to a ClaimAsk.
 type ClaimAnswer struct {
-	// Acting corresponds to the JSON schema field "acting".
+	// Acting is false when the member that was asked is not the acting primary of the
+	// shard.
 	Acting bool `json:"acting"`
 
-	// Verdict corresponds to the JSON schema field "verdict".
+	// Verdict is 1 when the attempt may run; higher values say why it may not, as
+	// listed in internal/policy/claim.
 	Verdict int `json:"verdict"`
 
-	// WaitMillis corresponds to the JSON schema field "waitMillis".
+	// WaitMillis is how long a caller that retried too soon has to wait.
 	WaitMillis int `json:"waitMillis"`
 }
 
@@ -47,10 +48,11 @@
 	// Attempt corresponds to the JSON schema field "attempt".
 	Attempt string `json:"attempt"`
 
-	// IntervalMillis corresponds to the JSON schema field "intervalMillis".
+	// IntervalMillis is the minimum time between a caller's attempts under one
+	// idempotency key.
 	IntervalMillis int `json:"intervalMillis"`
 
-	// Key corresponds to the JSON schema field "key".
+	// Key is a digest of customer, service and idempotency key, in hexadecimal.
 	Key string `json:"key"`
 
 	// Shard corresponds to the JSON schema field "shard".
@@ -95,7 +97,7 @@
 	// Shard corresponds to the JSON schema field "shard".
 	Shard int `json:"shard"`
 
-	// State corresponds to the JSON schema field "state".
+	// State is one of the states of a ClaimRecord.
 	State int `json:"state"`
 }
 
@@ -126,9 +128,10 @@
 	return nil
 }
 
-// ClaimEnded says that the end of an attempt is recorded, unless acting is false.
+// ClaimEnded confirms that the end of an attempt is recorded.
 type ClaimEnded struct {
-	// Acting corresponds to the JSON schema field "acting".
+	// Acting is false when the member that was asked is not the acting primary of the
+	// shard; the end may then not be recorded.
 	Acting bool `json:"acting"`
 }
 
@@ -150,18 +153,19 @@
 	return nil
 }
 
-// ClaimRecord is the state of one claim; its age is counted from its last change.
+// ClaimRecord is the state of one claim.
 type ClaimRecord struct {
-	// AgeMillis corresponds to the JSON schema field "ageMillis".
+	// AgeMillis is the time since the last change of the claim.
 	AgeMillis int `json:"ageMillis"`
 
-	// Attempt corresponds to the JSON schema field "attempt".
+	// Attempt is the last attempt that claimed the key.
 	Attempt string `json:"attempt"`
 
-	// Key corresponds to the JSON schema field "key".
+	// Key is a digest of customer, service and idempotency key, in hexadecimal.
 	Key string `json:"key"`
 
-	// State corresponds to the JSON schema field "state".
+	// State is 1 while an attempt may be running, 2 when an attempt has finished, 3
+	// when it is unknown whether one ran, and 4 when the key is free again.
 	State int `json:"state"`
 }
 
@@ -225,16 +229,16 @@
 // ShardAssignment says which members hold a shard in one epoch; a member's name
 // starts with its message address.
 type ShardAssignment struct {
-	// Backups corresponds to the JSON schema field "backups".
+	// Backups have every completed write.
 	Backups []string `json:"backups,omitempty,omitzero"`
 
-	// Epoch corresponds to the JSON schema field "epoch".
+	// Epoch numbers the assignments of the shard from 1.
 	Epoch int `json:"epoch"`
 
-	// Joining corresponds to the JSON schema field "joining".
+	// Joining members receive the state in order to become backups.
 	Joining []string `json:"joining,omitempty,omitzero"`
 
-	// Origin corresponds to the JSON schema field "origin".
+	// Origin is the epoch in which the state began; everything before it is lost.
 	Origin int `json:"origin"`
 
 	// Primary corresponds to the JSON schema field "primary".
@@ -243,7 +247,7 @@
 	// Shard corresponds to the JSON schema field "shard".
 	Shard int `json:"shard"`
 
-	// Stream corresponds to the JSON schema field "stream".
+	// Stream is the epoch in which the primary took over.
 	Stream int `json:"stream"`
 }
 
@@ -278,15 +282,16 @@
 }
 
 // ShardCommand is a command of the control log: it begins a leader's term, or
-// assigns shards in a term that has not ended.
+// assigns shards in the current term.
 type ShardCommand struct {
-	// Begin corresponds to the JSON schema field "begin".
+	// Begin is true for a command that begins the term.
 	Begin bool `json:"begin"`
 
 	// Shards corresponds to the JSON schema field "shards".
 	Shards []ShardAssignment `json:"shards,omitempty,omitzero"`
 
-	// Term corresponds to the JSON schema field "term".
+	// Term identifies the leader's term; assignments of a term that has ended are
+	// ignored.
 	Term string `json:"term"`
 }
 
@@ -311,22 +316,25 @@
 	return nil
 }
 
-// ShardFound is the answer to a lookup.
+// ShardFound is the answer to a ShardLookup, without an assignment when the shard
+// has none.
 type ShardFound struct {
 	// Assignment corresponds to the JSON schema field "assignment".
 	Assignment *ShardAssignment `json:"assignment,omitempty,omitzero"`
 }
 
-// ShardLease is the answer to a renewal: the lease holds for the assignments in
-// it, or for those of the mark when same is true.
+// ShardLease is the answer to a ShardRenewal: the lease holds for the listed
+// assignments or, when same is true, for those that the mark stands for.
 type ShardLease struct {
-	// Leading corresponds to the JSON schema field "leading".
+	// Leading is false when the control instance is not certain to lead; it then
+	// grants no lease.
 	Leading bool `json:"leading"`
 
-	// LeaseMillis corresponds to the JSON schema field "leaseMillis".
+	// LeaseMillis is the duration of the lease.
 	LeaseMillis int `json:"leaseMillis"`
 
-	// Same corresponds to the JSON schema field "same".
+	// Same is true when the renewal's mark is that of the member's newest
+	// assignments.
 	Same bool `json:"same"`
 
 	// Shards corresponds to the JSON schema field "shards".
@@ -381,16 +389,15 @@
 	return nil
 }
 
-// ShardRenewal renews a member's control lease; mark stands for the assignments
-// that it knows.
+// ShardRenewal renews a member's control lease.
 type ShardRenewal struct {
 	// DataCentre corresponds to the JSON schema field "dataCentre".
 	DataCentre string `json:"dataCentre"`
 
-	// Leaving corresponds to the JSON schema field "leaving".
+	// Leaving is true when the member is about to stop.
 	Leaving bool `json:"leaving"`
 
-	// Mark corresponds to the JSON schema field "mark".
+	// Mark is a digest of the assignments that the member knows.
 	Mark string `json:"mark"`
 
 	// Member corresponds to the JSON schema field "member".
@@ -433,8 +440,7 @@
 	return nil
 }
 
-// ShardReport tells what the primary of a shard knows of its followers in an
-// epoch.
+// ShardReport is what the primary of a shard knows of its followers in an epoch.
 type ShardReport struct {
 	// Epoch corresponds to the JSON schema field "epoch".
 	Epoch int `json:"epoch"`
@@ -442,10 +448,11 @@
 	// Shard corresponds to the JSON schema field "shard".
 	Shard int `json:"shard"`
 
-	// Silent corresponds to the JSON schema field "silent".
+	// Silent lists the followers that have not answered for some time.
 	Silent []string `json:"silent,omitempty,omitzero"`
 
-	// Synced corresponds to the JSON schema field "synced".
+	// Synced lists the joining members that have the whole state and take part in
+	// every write.
 	Synced []string `json:"synced,omitempty,omitzero"`
 }
 
@@ -479,28 +486,30 @@
 	// Epoch corresponds to the JSON schema field "epoch".
 	Epoch int `json:"epoch"`
 
-	// Lost corresponds to the JSON schema field "lost".
+	// Lost is true when earlier state was lost.
 	Lost bool `json:"lost"`
 
-	// LostMillis corresponds to the JSON schema field "lostMillis".
+	// LostMillis is how long ago it was lost.
 	LostMillis int `json:"lostMillis"`
 
-	// Origin corresponds to the JSON schema field "origin".
+	// Origin is the epoch in which the state began; everything before it is lost.
 	Origin int `json:"origin"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence is the number of the write in the stream, or of the last write that
+	// the whole state includes.
 	Sequence int `json:"sequence"`
 
 	// Shard corresponds to the JSON schema field "shard".
 	Shard int `json:"shard"`
 
-	// Stream corresponds to the JSON schema field "stream".
+	// Stream is the epoch in which the primary took over.
 	Stream int `json:"stream"`
 
-	// To corresponds to the JSON schema field "to".
+	// To is the receiving member; a later process at the same address must not apply
+	// the write.
 	To string `json:"to"`
 
-	// Whole corresponds to the JSON schema field "whole".
+	// Whole is true when the message carries the whole state.
 	Whole bool `json:"whole"`
 }
 
@@ -546,15 +555,15 @@
 	return nil
 }
 
-// ShardWritten is a follower's answer.
+// ShardWritten is a follower's answer to a ShardWrite.
 type ShardWritten struct {
-	// Epoch corresponds to the JSON schema field "epoch".
+	// Epoch is the highest epoch that the follower has received.
 	Epoch int `json:"epoch"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence is the last write of the stream that the follower has.
 	Sequence int `json:"sequence"`
 
-	// Stream corresponds to the JSON schema field "stream".
+	// Stream is the stream that the follower's state belongs to.
 	Stream int `json:"stream"`
 }
 
@@ -584,21 +593,21 @@
 
 type ShardsJson map[string]interface{}
 
-// TokenAsk asks a primary for tokens of a customer at a service.
+// TokenAsk asks a primary for a lease of tokens of a customer at a service.
 type TokenAsk struct {
 	// Customer corresponds to the JSON schema field "customer".
 	Customer string `json:"customer"`
 
-	// Holder corresponds to the JSON schema field "holder".
+	// Holder identifies the node that asks, for the life of its process.
 	Holder string `json:"holder"`
 
-	// PatienceMicros corresponds to the JSON schema field "patienceMicros".
+	// PatienceMicros is how long the holder's requests may wait for a token.
 	PatienceMicros int `json:"patienceMicros"`
 
-	// Reports corresponds to the JSON schema field "reports".
+	// Reports name every lease that the holder still has.
 	Reports []TokenReport `json:"reports,omitempty,omitzero"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence numbers the holder's requests from 1.
 	Sequence int `json:"sequence"`
 
 	// Service corresponds to the JSON schema field "service".
@@ -607,10 +616,10 @@
 	// Shard corresponds to the JSON schema field "shard".
 	Shard int `json:"shard"`
 
-	// Target corresponds to the JSON schema field "target".
+	// Target is the number of tokens that the holder wants to hold.
 	Target int `json:"target"`
 
-	// Waiting corresponds to the JSON schema field "waiting".
+	// Waiting is the number of requests that wait at the holder for a token.
 	Waiting int `json:"waiting"`
 }
 
@@ -653,28 +662,29 @@
 	return nil
 }
 
-// TokenGrant is a primary's answer; acting is false when the asked member does not
-// act for the shard.
+// TokenGrant is a primary's answer to a TokenAsk.
 type TokenGrant struct {
-	// Acting corresponds to the JSON schema field "acting".
+	// Acting is false when the member that was asked is not the acting primary of the
+	// shard.
 	Acting bool `json:"acting"`
 
-	// Empty corresponds to the JSON schema field "empty".
+	// Empty is true when the bucket had no token.
 	Empty bool `json:"empty"`
 
-	// LeaseMillis corresponds to the JSON schema field "leaseMillis".
+	// LeaseMillis is how long they may be spent, counted from when the request was
+	// sent.
 	LeaseMillis int `json:"leaseMillis"`
 
-	// OverRate corresponds to the JSON schema field "overRate".
+	// OverRate is true when the customer is over its rate and burst.
 	OverRate bool `json:"overRate"`
 
-	// RetryMicros corresponds to the JSON schema field "retryMicros".
+	// RetryMicros is the time until the bucket may have a token.
 	RetryMicros int `json:"retryMicros"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence is the number of the request.
 	Sequence int `json:"sequence"`
 
-	// Tokens corresponds to the JSON schema field "tokens".
+	// Tokens is the number of tokens on the new lease, 0 for no lease.
 	Tokens int `json:"tokens"`
 }
 
@@ -714,15 +724,15 @@
 	return nil
 }
 
-// TokenReport tells how much of one lease of tokens is spent.
+// TokenReport says how much of one lease of tokens is spent.
 type TokenReport struct {
-	// Closed corresponds to the JSON schema field "closed".
+	// Closed is true when the holder will spend no more from the lease.
 	Closed bool `json:"closed"`
 
-	// Sequence corresponds to the JSON schema field "sequence".
+	// Sequence is the number of the request that the lease answered.
 	Sequence int `json:"sequence"`
 
-	// Spent corresponds to the JSON schema field "spent".
+	// Spent is the number of tokens spent from the lease since it was granted.
 	Spent int `json:"spent"`
 }
 
