--- a/internal/wire/message/shards.go
+++ b/internal/wire/message/shards.go
@@ -8,7 +8,7 @@
 // ClaimAnswer is a primary's answer to a ClaimAsk.
 type ClaimAnswer struct {
 	// Acting is false when the member that was asked is not the acting primary of the
-	// shard.
+	// shard, or when its backups did not confirm the claim in time.
 	Acting bool `json:"acting"`
 
 	// Verdict is 1 when the attempt may run; higher values say why it may not, as
@@ -131,7 +131,7 @@
 // ClaimEnded confirms that the end of an attempt is recorded.
 type ClaimEnded struct {
 	// Acting is false when the member that was asked is not the acting primary of the
-	// shard; the end may then not be recorded.
+	// shard, or when its backups did not confirm the record in time.
 	Acting bool `json:"acting"`
 }
 
