--- a/spec/log.pml
+++ b/spec/log.pml
@@ -1,17 +1,18 @@
 /*
- * The replicated log of three control instances: votes, terms, log matching, commitment, a lost disk and its repair.
+ * Model of the replicated log of three control instances: elections, terms, log matching, commitment, and the loss and
+ * replacement of a disk.
  *
- * Each instance has slots for incarnations; a lost disk ends one and starts another. A log is a list of entries, each
- * with its term and either a command or a membership. A message and what its receiver does are one step on both
- * states; a step that never comes stands for a lost message. Copies of old messages are left to the tests of the code.
+ * An instance that loses its disk continues as a new incarnation. A log is a list of entries, each with its term and
+ * either a command or a membership. Sending a message and handling it is one step that changes both states; a lost
+ * message is a step that is never taken. Duplicates of old messages are not modelled; the tests of the code cover them.
  *
- * Variants with one rule taken out, which must find a fault:
- *   FORGET_VOTE   a restart forgets the vote of the term
- *   EMPTY_VOTER   a lost disk comes back under the old identity and counts at once
- *   OLD_TERM      a leader commits entries of older terms by counting them
- *   ANY_LOG       a vote does not compare the logs
+ * Each variant removes one rule, and spin must find a violated assertion in it:
+ *   FORGET_VOTE   a restart loses the vote of the current term
+ *   EMPTY_VOTER   an instance that lost its disk keeps its identity and counts as a voter at once
+ *   OLD_TERM      a leader commits entries of older terms by counting replicas
+ *   ANY_LOG       a voter does not check that the candidate's log is at least as up to date as its own
  *
- * SECOND_LOSS calls a loss after a finished repair a fault, which shows that the model gets there.
+ * SECOND_LOSS makes a disk loss after a completed repair a violation, to show that the model reaches that state.
  */
 
 #ifndef MAXTERM
@@ -28,10 +29,13 @@
 #endif
 
 #define N 3          /* instances */
-#define M 5          /* incarnations: the first three found the log */
+#define M 5          /* incarnations: the first three create the log */
 #define NONE 15
 
-/* An entry is its term in the low four bits and its membership in the rest; membership 0 is a command. */
+/*
+ * An entry holds its term in the low four bits and its membership, a bit set of incarnations, in the rest; membership 0
+ * marks a command.
+ */
 #define TERM(e) ((e) & 15)
 #define MEMBERS(e) ((e) >> 4)
 #define BIT(m) (1 << (m))
@@ -40,14 +44,14 @@
 bool alive[M];       /* false before it starts and after its disk is lost */
 byte term[M];
 byte vote[M];
-byte votes[M];       /* the votes of a candidate, 0 for none */
+byte votes[M];       /* the set of votes that a candidate has, 0 for none */
 byte leads[M];       /* the term that the incarnation leads, 0 for none */
 byte length[M];
 byte entry[M * MAXLOG];
 byte commit[M];
 
-byte chosen[MAXLOG]; /* the entries ever committed */
-byte top;            /* the number of them */
+byte chosen[MAXLOG]; /* every entry that was ever committed */
+byte top;            /* the number of entries in chosen */
 byte leaderOf[MAXTERM + 1];
 byte born = N;       /* incarnations started so far */
 byte losses;
@@ -88,7 +92,7 @@
 #define AT(m, i) entry[(m) * MAXLOG + (i)]
 
 inline membership(m, upTo, out) {
-  /* the newest membership among the first entries of a log, or the founders' */
+  /* the newest membership among the first upTo entries of a log, or else the initial one */
   out = 7;
   _i = 0;
   do
@@ -103,7 +107,7 @@
 }
 
 inline majority(set, among, out) {
-  /* whether a set holds more than half of some members */
+  /* whether set contains more than half of the members in among */
   _have = 0; _all = 0; _i = 0;
   do
   :: _i < M ->
@@ -130,7 +134,7 @@
 
 #define LEADS(m) (alive[m] && leads[m] != 0 && leads[m] == term[m])
 
-/* A candidate that has a majority leads its term, which it must lead alone. */
+/* Makes a candidate with a majority the leader of its term, and asserts that the term has no other leader. */
 inline count(c) {
   membership(c, length[c], _set);
   majority(votes[c], _set, _ok);
@@ -144,7 +148,7 @@
   fi
 }
 
-/* A member that counts by its own log starts an election. */
+/* A member that is a voter according to its own log starts an election. */
 #define MAY_CAMPAIGN(c) (alive[c] && term[c] < MAXTERM)
 inline campaign(c) {
   membership(c, length[c], _set);
@@ -157,7 +161,7 @@
   fi
 }
 
-/* A voter votes for a candidate; both have the vote on disk. */
+/* A voter grants its vote to a candidate; the votes of both are on disk. */
 #define MAY_GRANT(c, v) (alive[c] && alive[v] && votes[c] != 0 && vote[c] == c && leads[c] == 0 && term[v] <= term[c] && (term[v] < term[c] || vote[v] == NONE))
 inline grant(c, v) {
   lastTerm(c, _mine);
@@ -171,7 +175,7 @@
   fi
 }
 
-/* A leader appends an entry. */
+/* A leader appends an entry to its own log; m is the new membership, 0 for a command. */
 inline appendOwn(l, m) {
   if
   :: length[l] < MAXLOG ->
@@ -181,10 +185,10 @@
   fi
 }
 
-/* A leader takes a command. */
+/* A leader accepts a command. */
 inline propose(l) { appendOwn(l, 0) }
 
-/* A member learns the leader's commitment as far as its log goes. */
+/* A member advances its commit index to the leader's, at most to the end of its own log. */
 inline learn(l, f) {
   if
   :: commit[l] > commit[f] -> commit[f] = (commit[l] < length[f] -> commit[l] : length[f])
@@ -192,7 +196,7 @@
   fi
 }
 
-/* A leader sends one member its next entry, and what it has committed. */
+/* A leader sends a member the next entry that it lacks, and the commit index. */
 #define MAY_REPLICATE(l, f) (LEADS(l) && alive[f] && term[f] <= term[l])
 inline replicate(l, f) {
   if
@@ -218,7 +222,7 @@
   learn(l, f)
 }
 
-/* Holds what was committed against everything committed before. */
+/* Asserts that newly committed entries agree with every entry that was committed before. */
 inline record(l) {
   _i = 0;
   do
@@ -232,7 +236,7 @@
   od
 }
 
-/* A leader commits what a majority of the newest membership has. */
+/* A leader commits the entries that a majority of the newest membership has. */
 #define MAY_COMMIT(l) (LEADS(l) && commit[l] < length[l])
 inline commitByQuorum(l) {
   if
@@ -283,7 +287,10 @@
   od
 }
 
-/* Whether every instance runs a member that counts, by the newest committed membership, and no change is under way. */
+/*
+ * Whether all members of the newest committed membership are alive, one for each instance, and no membership change is
+ * in progress.
+ */
 inline whole(out) {
   _set = 7; _i = 0;
   do
@@ -318,7 +325,7 @@
   od
 }
 
-/* An instance loses its disk, one at a time: only while the rest is whole. */
+/* An instance loses its disk. Losses come one at a time, only while the membership is complete. */
 #define MAY_LOSE(m) (alive[m] && losses < LOSSES)
 inline lose(m) {
   whole(_ok);
@@ -340,7 +347,7 @@
   fi
 }
 
-/* A restart keeps what is on disk. */
+/* A restarted member keeps only what is on disk: term, vote and log. */
 #define MAY_RESTART(m) (alive[m] && restarts < RESTARTS)
 inline restart(m) {
   restarts++;
@@ -350,7 +357,7 @@
   vote[m] = KEPT(vote[m])
 }
 
-/* A leader takes the next single step of a repair: the lost incarnation out, then the new one in once it has all. */
+/* A leader takes the next step of a repair: it removes the lost incarnation, then adds the new one. */
 #define MAY_REPAIR(l) (LEADS(l) && born > N)
 inline repair(l) {
   membership(l, length[l], _set);
@@ -367,7 +374,7 @@
         :: _old < M && !((_set & BIT(_old)) && home[_old] == home[_v]) -> _old++
         :: else -> break
         od;
-        /* the new member has every committed entry, as it answered the leader */
+        /* the new member has acknowledged every committed entry to this leader */
         if
         :: term[_v] == term[l] && length[_v] >= commit[l] ->
           if
@@ -386,7 +393,7 @@
   fi
 }
 
-/* Forgets the scratch variables, so that they make no new states. */
+/* Resets the scratch variables, so that they do not multiply the states. */
 inline clean() {
   _i = 0; _have = 0; _all = 0; _set = 0; _votes = 0; _v = 0; _n = 0; _mine = 0; _theirs = 0; _old = 0;
   _ok = false; _same = false
--- a/spec/shard.pml
+++ b/spec/shard.pml
@@ -1,15 +1,16 @@
 /*
- * Shard epochs with control leases: one shard with one key that may be claimed, and tokens that may be leased.
+ * Model of shard epochs with control leases: one shard with one key that can be claimed and tokens that can be leased.
  *
- * The control log moves the shard from epoch to epoch. A member acts under the newest epoch that it was told and its
- * control lease. A claim is granted once every backup of the epoch has it. A granted attempt runs or is given up, and
- * an attempt that was given up may be freed. Messages are late without bound and repeated; members stop for any time.
+ * The control log moves the shard from epoch to epoch. A member acts as primary under the newest epoch that it has
+ * learned, while it holds a control lease. A claim is granted once every backup of the epoch has it. A granted attempt
+ * runs or is abandoned, and the claim of an abandoned attempt may be released. Messages may be delayed without bound
+ * and duplicated; members may pause for any time.
  *
- * Each of these takes a rule out and must break an assertion:
- *   NO_LEASE     acting needs no control lease, and the control log does not wait for its end
- *   NO_EPOCH     members take writes of older epochs
- *   NO_BACKUP    answers do not wait for the backups
- *   NO_TRANSFER  a member becomes a backup without the state
+ * Each variant removes one rule, and spin must find a violated assertion in it:
+ *   NO_LEASE     a primary acts without a control lease, and the control log does not wait until the lease ends
+ *   NO_EPOCH     members accept writes of older epochs
+ *   NO_BACKUP    a primary answers without waiting for the backups
+ *   NO_TRANSFER  a member becomes a backup before it has the state
  */
 
 #ifndef MAXEPOCH
@@ -24,26 +25,26 @@
 bool member[M];
 bool lost = false;
 
-/* Each member's knowledge and state; a value of 0 is a free key, else it is the attempt that claims it. */
+/* Each member's newest epoch, role, lease and state; value is the attempt that holds the key, 0 for a free key. */
 byte known[M];
 bool acts[M];
 bool lease[M];
 byte value[M];
 
-/* A primary's group, the joining members that it counts, and its write in progress. */
+/* A primary's group, the joining members that already take part in its writes, and its write in progress. */
 bool group[M * M];
 bool counted[M * M];
 bool acked[M * M];
 bool writing[M];
 byte granting[M];
 
-/* A primary's last write and one earlier write, which stay in the network for ever. */
+/* A primary's last write and one earlier write; both can be delivered at any later time and more than once. */
 byte sent_epoch[M];
 byte sent_value[M];
 byte old_epoch[M];
 byte old_value[M];
 
-/* What callers have seen. */
+/* What callers have observed. */
 byte attempts = 0;
 byte runs = 0;
 bool givenup[ATTEMPTS + 1];
@@ -84,7 +85,7 @@
   AT(acked, p, 2) = false
 }
 
-/* Takes a write of an earlier time; its answer is of no use to the primary. */
+/* Handles a delayed write; the primary ignores the answer to it. */
 inline receive_old(r, p) {
   if
   :: ACCEPTS(r, old_epoch[p]) && old_epoch[p] != known[r] -> value[r] = old_value[p]
@@ -125,10 +126,10 @@
   do
   :: atomic { primary == m && (epoch > known[m] || epoch == known[m] && !acts[m]) -> learn(m) }
 
-  /* A renewal reaches the control log while the epoch is still the newest. */
+  /* Renews the control lease, which the control log grants only while the epoch is the newest. */
   :: atomic { acts[m] && !lease[m] && known[m] == epoch && primary == m -> lease[m] = true }
 
-  /* Leases tokens: never after the primary of a later epoch did. */
+  /* Leases tokens, and asserts that no primary of a later epoch has leased any. */
   :: atomic {
        acts[m] && LEASED(m) && token_epoch != known[m] ->
        assert(known[m] > token_epoch);
@@ -148,7 +149,7 @@
        write(m, 0)
      }
 
-  /* Answers the write that every backup has. */
+  /* Answers a write that every backup has. */
   :: atomic {
        acts[m] && LEASED(m) && writing[m] && COMPLETE(m) ->
        writing[m] = false;
@@ -160,10 +161,10 @@
        granting[m] = 0
      }
 
-  /* The caller of a claim that is not answered yet gives up. */
+  /* The caller abandons a claim that is not answered yet. */
   :: atomic { granting[m] != 0 && !givenup[granting[m]] -> givenup[granting[m]] = true }
 
-  /* Counts a joining member that has the last write. */
+  /* Makes a joining member that has the last write take part in the following ones. */
   :: atomic {
        acts[m] && LEASED(m) && !writing[m];
        if
@@ -225,13 +226,13 @@
        :: n = 2
        fi;
        if
-       /* A backup succeeds a silent primary. */
+       /* A backup takes over from an unresponsive primary. */
        :: !lost && n != primary && member[n] && ENDED(primary) -> take_over(n)
-       /* A silent backup leaves. */
+       /* An unresponsive backup is removed. */
        :: !lost && n != primary && member[n] -> member[n] = false; epoch++
        /* A joining member becomes a backup. */
        :: !lost && n != primary && !member[n] && JOINED(n) -> member[n] = true; epoch++
-       /* All members are lost. */
+       /* All members are lost, and the shard starts again without its state. */
        :: !lost && n != primary && !member[n] && ENDED(primary) -> start_anew(n)
        :: else
        fi;
