--- a/internal/wire/message/messages.go
+++ b/internal/wire/message/messages.go
@@ -229,16 +229,16 @@
 
 // ConfigurationDelta is what changed between two revisions of the configuration.
 type ConfigurationDelta struct {
-	// Base is the revision that the delta applies to.
+	// Base is the oldest revision that the delta can be applied to.
 	Base int `json:"base" msgpack:"base"`
 
 	// Changed corresponds to the JSON schema field "changed".
 	Changed Configuration `json:"changed" msgpack:"changed"`
 
-	// GoneKeys corresponds to the JSON schema field "goneKeys".
+	// GoneKeys are the public identifiers of the revoked keys.
 	GoneKeys []string `json:"goneKeys" msgpack:"goneKeys"`
 
-	// GoneProfiles corresponds to the JSON schema field "goneProfiles".
+	// GoneProfiles are the names of the deleted profiles.
 	GoneProfiles []string `json:"goneProfiles" msgpack:"goneProfiles"`
 }
 
@@ -341,10 +341,11 @@
 	// Key corresponds to the JSON schema field "key".
 	Key *Key `json:"key,omitempty,omitzero" msgpack:"key,omitempty"`
 
-	// KeyId corresponds to the JSON schema field "keyId".
+	// KeyId is the public identifier of the key that the edit adds or revokes.
 	KeyId *string `json:"keyId,omitempty,omitzero" msgpack:"keyId,omitempty"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind is apply-profile, delete-profile, assign, give-key, withdraw-key or
+	// replace-table.
 	Kind string `json:"kind" msgpack:"kind"`
 
 	// Operation is the edit's idempotency identifier; a resend carries the same one.
@@ -353,10 +354,10 @@
 	// Profile corresponds to the JSON schema field "profile".
 	Profile *Profile `json:"profile,omitempty,omitzero" msgpack:"profile,omitempty"`
 
-	// ProfileName corresponds to the JSON schema field "profileName".
+	// ProfileName is the profile that the edit applies, deletes or assigns.
 	ProfileName *string `json:"profileName,omitempty,omitzero" msgpack:"profileName,omitempty"`
 
-	// Service corresponds to the JSON schema field "service".
+	// Service is the service to assign a profile to.
 	Service *string `json:"service,omitempty,omitzero" msgpack:"service,omitempty"`
 
 	// Table corresponds to the JSON schema field "table".
@@ -850,7 +851,8 @@
 // MembersPoll asks another control instance for the members that announced
 // themselves to it since a version.
 type MembersPoll struct {
-	// MemberVersion corresponds to the JSON schema field "memberVersion".
+	// MemberVersion is the newest version that the asking control instance has from
+	// the registry.
 	MemberVersion int `json:"memberVersion" msgpack:"memberVersion"`
 
 	// Registry identifies the registry that the member version belongs to.
@@ -904,10 +906,10 @@
 	// of different registries cannot be compared.
 	Registry string `json:"registry" msgpack:"registry"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision that the node has, 0 for none.
 	Revision int `json:"revision" msgpack:"revision"`
 
-	// Services corresponds to the JSON schema field "services".
+	// Services are those whose members the node wants.
 	Services []string `json:"services" msgpack:"services"`
 
 	// WaitMillis is how long the control instance may wait for a change before it
@@ -927,7 +929,8 @@
 	// Delta corresponds to the JSON schema field "delta".
 	Delta *ConfigurationDelta `json:"delta,omitempty,omitzero" msgpack:"delta,omitempty"`
 
-	// Full is true when the members are the complete list and not only what changed.
+	// Full is true when the members are all those of the requested services and not
+	// only what changed.
 	Full bool `json:"full" msgpack:"full"`
 
 	// Gone lists the instances that are no longer members.
@@ -949,7 +952,8 @@
 	// Registry identifies the registry that the member version belongs to.
 	Registry string `json:"registry" msgpack:"registry"`
 
-	// Revision corresponds to the JSON schema field "revision".
+	// Revision is the configuration revision after the configuration or delta in this
+	// answer is applied.
 	Revision int `json:"revision" msgpack:"revision"`
 
 	// Settled is true when the registry has run long enough for every live member to
@@ -1359,7 +1363,7 @@
 	// IndexTerm is the term of the entry at index.
 	IndexTerm int `json:"indexTerm" msgpack:"indexTerm"`
 
-	// Kind corresponds to the JSON schema field "kind".
+	// Kind is the type of the request or answer, such as append or append-answer.
 	Kind string `json:"kind" msgpack:"kind"`
 
 	// Members corresponds to the JSON schema field "members".
@@ -1511,7 +1515,7 @@
 
 // ReplicaRemoval asks the leader to remove a control instance permanently.
 type ReplicaRemoval struct {
-	// Instance corresponds to the JSON schema field "instance".
+	// Instance is the name of the control instance.
 	Instance string `json:"instance" msgpack:"instance"`
 }
 
--- a/internal/wire/message/shards.go
+++ b/internal/wire/message/shards.go
@@ -45,7 +45,7 @@
 
 // ClaimAsk asks a primary for the right to run an attempt.
 type ClaimAsk struct {
-	// Attempt corresponds to the JSON schema field "attempt".
+	// Attempt identifies the attempt; it is never reused.
 	Attempt string `json:"attempt"`
 
 	// IntervalMillis is the minimum time between a caller's attempts under one
