--- a/design/api.go
+++ b/design/api.go
@@ -21,20 +21,20 @@
 var _ = Service("operator", func() {
 	Description("Management of profiles, assignments and customer keys at run time.")
 	Security(OperatorToken)
-	failures()
+	declareFailures()
 	profileMethods()
 	assignmentMethods()
 	keyMethods()
 	Method("view_status", func() {
 		Description("Show the state of the control instance that answers.")
-		Payload(func() { token() })
+		Payload(func() { tokenAttribute() })
 		Result(Status)
 		HTTP(func() { GET("/v1/status") })
 	})
 	Method("view_node", func() {
 		Description("Show which limits of a node hold requests back, for which customers and since when.")
 		Payload(func() {
-			token()
+			tokenAttribute()
 			Attribute("instance", String, "The node's name.")
 			Required("instance")
 		})
@@ -43,7 +43,8 @@
 	})
 })
 
-func failures() {
+// declareFailures declares the errors of all methods and their HTTP status codes.
+func declareFailures() {
 	Error("conflict", Failure)
 	Error("invalid", Failure)
 	Error("not_found", Failure)
@@ -67,14 +68,14 @@
 func profileMethods() {
 	Method("list_profiles", func() {
 		Description("List all profiles in alphabetical order.")
-		Payload(func() { token() })
+		Payload(func() { tokenAttribute() })
 		Result(ProfileList)
 		HTTP(func() { GET("/v1/profiles") })
 	})
 	Method("view_profile", func() {
 		Description("Show one profile in the form of a profile file.")
 		Payload(func() {
-			token()
+			tokenAttribute()
 			Attribute("profile", String, "The profile's name.")
 			Required("profile")
 		})
@@ -84,7 +85,7 @@
 	Method("apply_profile", func() {
 		Description("Create or replace a profile.")
 		Payload(func() {
-			edit()
+			editAttributes()
 			Attribute("profile", String, "The profile's name.")
 			Attribute("document", String, "The text of a profile file, JSON with comments.")
 			Required("profile", "document")
@@ -98,7 +99,7 @@
 	Method("delete_profile", func() {
 		Description("Delete a profile that is not assigned to any service.")
 		Payload(func() {
-			edit()
+			editAttributes()
 			Attribute("profile", String, "The profile's name.")
 			Required("profile")
 		})
@@ -113,14 +114,14 @@
 func assignmentMethods() {
 	Method("list_assignments", func() {
 		Description("List all assignments, sorted by service.")
-		Payload(func() { token() })
+		Payload(func() { tokenAttribute() })
 		Result(AssignmentList)
 		HTTP(func() { GET("/v1/assignments") })
 	})
 	Method("assign", func() {
 		Description("Assign a profile to a service, in place of the one that it has.")
 		Payload(func() {
-			edit()
+			editAttributes()
 			Attribute("service", String, "The service's name.")
 			Attribute("profile", String, "The profile's name.")
 			Required("service", "profile")
@@ -136,15 +137,15 @@
 func keyMethods() {
 	Method("list_keys", func() {
 		Description("List all keys without their secrets, sorted by customer and revision.")
-		Payload(func() { token() })
+		Payload(func() { tokenAttribute() })
 		Result(KeyList)
 		HTTP(func() { GET("/v1/keys") })
 	})
 	Method("give_key", func() {
 		Description("Create a key for a customer. The secret is in the response to the first request only.")
 		Payload(func() {
-			token()
-			operation()
+			tokenAttribute()
+			operationAttribute()
 			Attribute("customer", String, "The customer's name.")
 			Required("customer")
 		})
@@ -157,8 +158,8 @@
 	Method("withdraw_key", func() {
 		Description("Revoke a key. No base revision is needed, as a key never changes.")
 		Payload(func() {
-			token()
-			operation()
+			tokenAttribute()
+			operationAttribute()
 			Attribute("key", String, "The key's public identifier.")
 			Required("key")
 		})
@@ -170,26 +171,29 @@
 	})
 }
 
-func token() {
+func tokenAttribute() {
 	Token("token", String, "The operator's token.")
 	Required("token")
 }
 
-func operation() {
+// operationAttribute adds the identifier by which a resend of an edit is recognised.
+func operationAttribute() {
 	Attribute("operation", String, "The edit's idempotency identifier: a resend with the same one gets the first response. One is generated when it is absent.", func() {
 		MaxLength(128)
 	})
 }
 
-func edit() {
-	token()
-	operation()
+// editAttributes adds the attributes of an edit that has a base revision.
+func editAttributes() {
+	tokenAttribute()
+	operationAttribute()
 	Attribute("base", Int64, "The revision of the edited object that the edit is based on, 0 to create the object.", func() {
 		Minimum(0)
 	})
 	Required("base")
 }
 
+// editParams maps the operation and base of such an edit to query parameters.
 func editParams() {
 	Param("operation")
 	Param("base")
