--- a/internal/command/demo/fleet.go
+++ b/internal/command/demo/fleet.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return v, err
 	}
-	server := newServer(sample.Config{Address: t.address(), Node: v.Backend})
+	server := newServer(sample.Config{Address: t.address(), NodeAddress: v.Backend})
 	t.members = append(t.members, runKernel(k), server.Run)
 	return v, nil
 }
--- a/internal/command/sample/doc.go
+++ b/internal/command/sample/doc.go
@@ -1,2 +1,2 @@
-// Package sample holds the backend servers of the demonstration: booking, and the calendar that it calls.
+// Package sample implements the backend servers of the demonstration: booking, and the calendar service that it calls.
 package sample
--- a/internal/command/sample/server.go
+++ b/internal/command/sample/server.go
@@ -16,41 +16,44 @@
 	"github.com/figpier/figpier"
 )
 
-// Error is the class of failures of a sample backend server.
+// Error is the class of errors of a sample backend server.
 var Error = errs.Class("sample backend server")
 
 const (
 	announcePath      = "/figpier/announce"
-	announceEvery     = 500 * time.Millisecond
+	announceInterval  = 500 * time.Millisecond
 	readHeaderTimeout = 5 * time.Second
 	stopTimeout       = 5 * time.Second
-	slots             = 16
+	// slots is the number of requests that the server announces it can run at once.
+	slots = 16
 )
 
-// Config builds a Server.
+// Config holds the addresses of a Server.
 type Config struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// Node is the address of the node's listener for this backend server.
-	Node string
+	// NodeAddress is the IP address and port of the node's listener for this backend server.
+	// The server sends its announcements there and uses it as the proxy for calls to other services.
+	NodeAddress string
 }
 
-// Server is one backend server beside a node.
+// Server is a backend server that announces itself to the node beside it.
 type Server struct {
 	config  Config
 	handler http.Handler
 	client  *http.Client
 }
 
+// newServer returns a server without a handler, which the caller sets.
 func newServer(c Config) *Server {
-	node := &url.URL{Scheme: "http", Host: c.Node}
+	node := &url.URL{Scheme: "http", Host: c.NodeAddress}
 	return &Server{
 		config: c,
 		client: &http.Client{Transport: &http.Transport{Proxy: http.ProxyURL(node)}},
 	}
 }
 
-// Run serves and announces the server until the context ends.
+// Run serves requests and announces the server to its node until the context ends, then shuts down within stopTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", s.config.Address)
 	if err != nil {
@@ -59,7 +62,7 @@
 	h := &http.Server{Handler: s.handler, ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
 	go func() { served <- h.Serve(l) }()
-	s.announceUntil(ctx)
+	s.sendHeartbeats(ctx)
 	s.client.CloseIdleConnections()
 	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
@@ -70,9 +73,9 @@
 	return Error.Wrap(err)
 }
 
-// announceUntil tells the node again and again that the server is there, which is its heartbeat.
-func (s *Server) announceUntil(ctx context.Context) {
-	t := time.NewTicker(announceEvery)
+// sendHeartbeats announces the server every announceInterval until the context ends.
+func (s *Server) sendHeartbeats(ctx context.Context) {
+	t := time.NewTicker(announceInterval)
 	defer t.Stop()
 	for {
 		s.announce(ctx)
@@ -84,13 +87,13 @@
 	}
 }
 
-// announce does without an answer, as the next announcement follows soon.
+// announce sends one announcement and ignores failures, since the next one follows after announceInterval.
 func (s *Server) announce(ctx context.Context) {
 	body, err := json.Marshal(map[string]any{"address": s.config.Address, "slots": slots})
 	if err != nil {
 		return
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.config.Node+announcePath, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.config.NodeAddress+announcePath, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -99,14 +102,15 @@
 	}
 }
 
-// pass answers a request with what another service answers, called through the node.
-func (s *Server) pass(w http.ResponseWriter, r *http.Request, target string) {
+// forward sends a request to the target through the node, without its body, and relays the response.
+// A response that breaks off aborts the connection, so that the caller does not take it for complete.
+func (s *Server) forward(w http.ResponseWriter, r *http.Request, target string) {
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, target, nil)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// The handle tells the node for which request the call is made.
+	// The call handle tells the node which request the exit call belongs to.
 	for _, name := range []string{figpier.HeaderCall, figpier.HeaderIdempotencyKey} {
 		if v := r.Header.Get(name); v != "" {
 			out.Header.Set(name, v)
