--- a/internal/command/demo/demo_test.go
+++ b/internal/command/demo/demo_test.go
@@ -15,18 +15,19 @@
 	"github.com/figpier/figpier/internal/command/factory"
 )
 
-// Ports of the tests, below those that the system gives to connections.
+// The range of ports for the tests is below the ephemeral ports, which the system assigns to outgoing connections.
 const (
-	lowestPort = 10000
-	ports      = 20000
-	block      = 16
+	firstPort = 10000
+	portRange = 20000
+	blockSize = 16
 )
 
-// freePorts returns the first of a block of ports that were free at one look.
-func freePorts(t *testing.T) int {
+// findFreePorts returns the first port of a block whose ports were all free when checked.
+// The search starts at a block chosen by the process ID, so that test processes that run at once rarely collide.
+func findFreePorts(t *testing.T) int {
 	t.Helper()
-	for n := range ports / block {
-		first := lowestPort + (os.Getpid()+n)*block%ports
+	for n := range portRange / blockSize {
+		first := firstPort + (os.Getpid()+n)*blockSize%portRange
 		if blockIsFree(first) {
 			return first
 		}
@@ -36,7 +37,7 @@
 }
 
 func blockIsFree(first int) bool {
-	for port := first; port < first+block; port++ {
+	for port := first; port < first+blockSize; port++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", loopback, port))
 		if err != nil {
 			return false
@@ -46,45 +47,46 @@
 	return true
 }
 
+// newOptions returns the options of "figpier demo --once" with all output written to out.
 func newOptions(ctx context.Context, out io.Writer, port int) *options {
 	f := factory.New(factory.Config{Context: ctx, Out: out, Err: out})
 	return &options{factory: f, once: true, firstPort: port}
 }
 
-func TestDemoDrivesTheMainJob(t *testing.T) {
+func TestDemoRunsScenario(t *testing.T) {
 	out := &bytes.Buffer{}
-	err := newOptions(t.Context(), out, freePorts(t)).run()
+	err := newOptions(t.Context(), out, findFreePorts(t)).run()
 	assert.NilError(t, err, out.String())
-	for _, want := range []string{"\"holds\":1", "already-run", "key-missing", "key-unknown", "all answers are as they should be"} {
+	for _, want := range []string{"\"holds\":1", "already-run", "key-missing", "key-unknown", "all responses are as expected"} {
 		assert.Assert(t, strings.Contains(out.String(), want), out.String())
 	}
 }
 
-// stopper cancels a context once a text is written.
-type stopper struct {
+// cancellingWriter is a buffer that cancels a context when a write contains a text.
+type cancellingWriter struct {
 	bytes.Buffer
-	text string
-	stop context.CancelFunc
+	text   string
+	cancel context.CancelFunc
 }
 
-func (s *stopper) Write(p []byte) (int, error) {
+func (s *cancellingWriter) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte(s.text)) {
-		defer s.stop()
+		defer s.cancel()
 	}
 	return s.Buffer.Write(p)
 }
 
-func TestDemoExplainsAndEndsWithItsContext(t *testing.T) {
+func TestDemoPrintsInstructionsAndStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	out := &stopper{text: "curl -i", stop: cancel}
-	o := newOptions(ctx, out, freePorts(t))
+	out := &cancellingWriter{text: "curl -i", cancel: cancel}
+	o := newOptions(ctx, out, findFreePorts(t))
 	o.once = false
 	assert.NilError(t, o.run())
 	assert.Assert(t, strings.Contains(out.String(), "figpier key withdraw"), out.String())
 }
 
-func TestDemoSaysWhichPortIsTaken(t *testing.T) {
+func TestDemoFailsWhenPortIsInUse(t *testing.T) {
 	l, err := net.Listen("tcp", loopback+":0")
 	assert.NilError(t, err)
 	defer l.Close()
--- a/internal/command/demo/doc.go
+++ b/internal/command/demo/doc.go
@@ -1,2 +1,2 @@
-// Package demo is the command "figpier demo", which runs a small fleet inside one process.
+// Package demo implements the command "figpier demo", which runs a small fleet in one process.
 package demo
--- a/internal/command/demo/fleet.go
+++ b/internal/command/demo/fleet.go
@@ -24,29 +24,33 @@
 const (
 	loopback    = "127.0.0.1"
 	profileFile = "profile.jsonc"
-	graceOfStop = 10 * time.Second
+	// stopTimeout bounds the planned stop of a node or control instance.
+	stopTimeout = 10 * time.Second
 )
 
+// files holds the templates of the settings files, and the profile file.
+//
 //go:embed control.jsonc node.jsonc profile.jsonc
 var files embed.FS
 
-// member is one part of the fleet that runs until its context ends.
-type member func(ctx context.Context) error
+// component runs a node, a control instance or a backend server until its context ends.
+type component func(ctx context.Context) error
 
-// fleet is a control instance, two nodes and their backend servers.
+// fleet is a control instance and two nodes with a backend server each, which run in this process.
 type fleet struct {
-	factory   *factory.Factory
-	folder    string
-	nextPort  int
-	token     string
-	operators string
-	callers   string
-	metrics   string
-	members   []member
+	factory         *factory.Factory
+	folder          string
+	nextPort        int
+	token           string
+	operatorAddress string
+	callerAddress   string // of the booking node
+	metricsAddress  string // of the booking node
+	components      []component
 }
 
-// fileSettings fill the templates of the settings files.
-type fileSettings struct {
+// templateSettings holds the values for the templates of the settings files.
+// All but Folder and Service are IP addresses and ports; Control is the address for messages to the control instance.
+type templateSettings struct {
 	Folder    string
 	Service   figpier.UpstreamService
 	Messages  string
@@ -58,67 +62,72 @@
 	Control   string
 }
 
-// newFleet writes the settings files into a folder and builds the members from them.
-func newFleet(f *factory.Factory, folder string, firstPort int) (*fleet, error) {
-	t := &fleet{factory: f, folder: folder, nextPort: firstPort, token: rand.Text()}
-	if err := t.writeTokens(); err != nil {
+// newFleet writes the settings files into a folder and builds the components from them, without starting any.
+// The fleet listens on consecutive ports from firstPort.
+func newFleet(deps *factory.Factory, folder string, firstPort int) (*fleet, error) {
+	f := &fleet{factory: deps, folder: folder, nextPort: firstPort, token: rand.Text()}
+	if err := f.writeTokenFile(); err != nil {
 		return nil, err
 	}
-	messages, err := t.addControl()
+	messages, err := f.addControl()
 	if err != nil {
 		return nil, err
 	}
-	booking, err := t.addNode(sample.BookingService, messages, sample.NewBooking)
+	booking, err := f.addNode(sample.BookingService, messages, sample.NewBooking)
 	if err != nil {
 		return nil, err
 	}
-	t.callers, t.metrics = booking.Callers, booking.Metrics
-	_, err = t.addNode(sample.CalendarService, messages, sample.NewCalendar)
-	return t, err
+	f.callerAddress, f.metricsAddress = booking.Callers, booking.Metrics
+	_, err = f.addNode(sample.CalendarService, messages, sample.NewCalendar)
+	return f, err
 }
 
-func (t *fleet) writeTokens() error {
-	digest := sha256.Sum256([]byte(t.token))
+// writeTokenFile writes the file with the digest of the operator token, which the control instance reads.
+func (f *fleet) writeTokenFile() error {
+	digest := sha256.Sum256([]byte(f.token))
 	line := hex.EncodeToString(digest[:]) + " demo\n"
-	return Error.Wrap(os.WriteFile(filepath.Join(t.folder, "tokens"), []byte(line), 0o600))
+	return Error.Wrap(os.WriteFile(filepath.Join(f.folder, "tokens"), []byte(line), 0o600))
 }
 
-func (t *fleet) address() string {
-	t.nextPort++
-	return fmt.Sprintf("%s:%d", loopback, t.nextPort-1)
+// nextAddress returns the loopback address with the next port.
+func (f *fleet) nextAddress() string {
+	f.nextPort++
+	return fmt.Sprintf("%s:%d", loopback, f.nextPort-1)
 }
 
-func (t *fleet) addControl() (messages string, err error) {
-	v := fileSettings{Folder: t.folder, Messages: t.address(), Operators: t.address()}
-	s, err := t.settings("control.jsonc", "control-1.jsonc", v)
+// addControl adds the control instance and returns its address for messages.
+func (f *fleet) addControl() (messages string, err error) {
+	v := templateSettings{Folder: f.folder, Messages: f.nextAddress(), Operators: f.nextAddress()}
+	s, err := f.writeSettings("control.jsonc", "control-1.jsonc", v)
 	if err != nil {
 		return "", err
 	}
-	l, err := process.NewLog(s, t.factory.Err())
+	l, err := process.NewLog(s, f.factory.Err())
 	if err != nil {
 		return "", err
 	}
 	k, err := process.NewControl(s, l)
-	t.operators = v.Operators
-	t.members = append(t.members, runKernel(k))
+	f.operatorAddress = v.Operators
+	f.components = append(f.components, kernelComponent(k))
 	return v.Messages, err
 }
 
-func (t *fleet) addNode(service figpier.UpstreamService, control string, newServer func(sample.Config) *sample.Server) (fileSettings, error) {
-	v := fileSettings{
+// addNode adds a node and its backend server, and returns the addresses in the settings of the node.
+func (f *fleet) addNode(service figpier.UpstreamService, controlAddress string, newServer func(sample.Config) *sample.Server) (templateSettings, error) {
+	v := templateSettings{
 		Service:  service,
-		Messages: t.address(),
-		Metrics:  t.address(),
-		Callers:  t.address(),
-		Peers:    t.address(),
-		Backend:  t.address(),
-		Control:  control,
-	}
-	s, err := t.settings("node.jsonc", string(service)+"-1.jsonc", v)
+		Messages: f.nextAddress(),
+		Metrics:  f.nextAddress(),
+		Callers:  f.nextAddress(),
+		Peers:    f.nextAddress(),
+		Backend:  f.nextAddress(),
+		Control:  controlAddress,
+	}
+	s, err := f.writeSettings("node.jsonc", string(service)+"-1.jsonc", v)
 	if err != nil {
 		return v, err
 	}
-	l, err := process.NewLog(s, t.factory.Err())
+	l, err := process.NewLog(s, f.factory.Err())
 	if err != nil {
 		return v, err
 	}
@@ -126,18 +135,18 @@
 	if err != nil {
 		return v, err
 	}
-	server := newServer(sample.Config{Address: t.address(), NodeAddress: v.Backend})
-	t.members = append(t.members, runKernel(k), server.Run)
+	server := newServer(sample.Config{Address: f.nextAddress(), NodeAddress: v.Backend})
+	f.components = append(f.components, kernelComponent(k), server.Run)
 	return v, nil
 }
 
-// settings writes a settings file and reads it as a process does at its start.
-func (t *fleet) settings(name, file string, v fileSettings) (*settings.Settings, error) {
-	text, err := template.ParseFS(files, name)
+// writeSettings fills a template, writes the settings file and reads it as a process does when it starts.
+func (f *fleet) writeSettings(templateName, fileName string, v templateSettings) (*settings.Settings, error) {
+	text, err := template.ParseFS(files, templateName)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	path := filepath.Join(t.folder, file)
+	path := filepath.Join(f.folder, fileName)
 	w, err := os.Create(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -151,24 +160,26 @@
 	return settings.Read(path)
 }
 
-func runKernel(k *registry.Kernel) member {
+// kernelComponent returns a component that starts the services of a kernel and stops them when its context ends.
+func kernelComponent(k *registry.Kernel) component {
 	return func(ctx context.Context) error {
 		return k.Run(ctx, func() (context.Context, context.CancelFunc) {
-			return context.WithTimeout(context.WithoutCancel(ctx), graceOfStop)
+			return context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		})
 	}
 }
 
-// run runs all members until the context ends or one of them fails, and returns the first failure.
-func (t *fleet) run(ctx context.Context) error {
+// run runs all components until the context ends or one of them fails.
+// It waits until all have stopped and returns the first error.
+func (f *fleet) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan error, len(t.members))
-	for _, m := range t.members {
-		go func() { ended <- m(ctx) }()
+	ended := make(chan error, len(f.components))
+	for _, c := range f.components {
+		go func() { ended <- c(ctx) }()
 	}
 	var first error
-	for range t.members {
+	for range f.components {
 		if err := <-ended; err != nil && first == nil {
 			first = err
 			cancel()
@@ -177,6 +188,7 @@
 	return first
 }
 
-func (t *fleet) client() *operator.Client {
-	return operator.New(operator.Config{Addresses: []string{t.operators}, Token: t.token})
+// client returns a client of the operator API.
+func (f *fleet) client() *operator.Client {
+	return operator.New(operator.Config{Addresses: []string{f.operatorAddress}, Token: f.token})
 }
