--- a/edit.go
+++ b/edit.go
@@ -127,5 +127,5 @@
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("this control instance is not the leader; the leader is %q", string(e.leader))
+	return fmt.Sprintf("this instance does not lead; the leader is %q", string(e.leader))
 }
--- a/internal/control/catalog/answer.go
+++ b/internal/control/catalog/answer.go
@@ -53,7 +53,7 @@
 // replay answers a resend, or returns an InvalidEditError for a different edit under the same operation id.
 func (a *recordedAnswer) replay(fingerprint string) (*figpier.Receipt, error) {
 	if a.fingerprint != fingerprint {
-		return nil, figpier.NewInvalidEditError(fmt.Sprintf("operation id %q was used for another edit: use a new one", a.operation))
+		return nil, figpier.NewInvalidEditError(fmt.Sprintf("operation id %q was used for another edit: take a new one", a.operation))
 	}
 	return a.receipt, a.err
 }
--- a/internal/control/catalog/state.go
+++ b/internal/control/catalog/state.go
@@ -134,7 +134,7 @@
 		return figpier.NewConflictError(figpier.Revision(current))
 	}
 	if e.Table().Number() <= current {
-		return figpier.NewInvalidEditError(fmt.Sprintf("routing table number %d is not above the current number %d", e.Table().Number(), current))
+		return figpier.NewInvalidEditError(fmt.Sprintf("routing table %d is not above the one in force, %d", e.Table().Number(), current))
 	}
 	c := e.Table().Config()
 	c.Revision = next.Revision
--- a/internal/control/operator/node.go
+++ b/internal/control/operator/node.go
@@ -20,7 +20,7 @@
 
 // Error implements error.
 func (e *NodeUnreachableError) Error() string {
-	return "node " + string(e.instance) + " did not answer: " + e.cause.Error()
+	return "the node " + string(e.instance) + " did not answer: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
--- a/internal/control/replica/handle.go
+++ b/internal/control/replica/handle.go
@@ -63,7 +63,7 @@
 func (l *Log) reject(e figpier.Event) {
 	switch e := e.(type) {
 	case memberRequest:
-		e.verdict <- verdict{detail: "the control instance is stopping"}
+		e.verdict <- verdict{detail: "the control instance stops"}
 	case *proposal:
 		e.finish(nil, figpier.NewNotLeaderError(""))
 	}
--- a/internal/link/jsonrpc/messenger.go
+++ b/internal/link/jsonrpc/messenger.go
@@ -160,7 +160,7 @@
 	}
 	answer, err := h(ctx, func(message any) error {
 		if r.Params == nil {
-			return Error.New("%s: message has no content", r.Method)
+			return Error.New("%s: message without content", r.Method)
 		}
 		return Error.Wrap(json.Unmarshal(*r.Params, message))
 	})
--- a/internal/policy/replica/membership.go
+++ b/internal/policy/replica/membership.go
@@ -34,7 +34,7 @@
 		return figpier.NewNotLeaderError(m.Leader())
 	}
 	if joining.ID().Instance() == m.config.Self.Instance() {
-		return &MembershipError{instance: joining.ID().Instance(), detail: "the instance leads the log, so it cannot have lost its data folder"}
+		return &MembershipError{instance: joining.ID().Instance(), detail: "the instance leads the log, so its data folder is not lost"}
 	}
 	c := joining.Config()
 	c.Voter = false
@@ -50,7 +50,7 @@
 		return figpier.NewNotLeaderError(m.Leader())
 	}
 	if !m.canChangeMembers() {
-		return &MembershipError{instance: i, detail: "another membership change is in progress"}
+		return &MembershipError{instance: i, detail: "another change of the members is under way"}
 	}
 	for _, e := range m.log.members.List() {
 		next := m.log.members.without(e.ID())
@@ -58,12 +58,12 @@
 			continue
 		}
 		if !m.hasRecentQuorum(now, next) {
-			return &MembershipError{instance: i, detail: "no majority of the remaining voters is reachable"}
+			return &MembershipError{instance: i, detail: "no majority of the other voters answers"}
 		}
 		m.appendMembership(now, next)
 		return nil
 	}
-	return &MembershipError{instance: i, detail: "the instance is not a member"}
+	return &MembershipError{instance: i, detail: "the instance is no member"}
 }
 
 // hasRecentQuorum reports whether a majority of the voters in a membership has answered a message that was sent within
@@ -89,7 +89,7 @@
 
 // Error implements error.
 func (e *MembershipError) Error() string {
-	return "cannot change the membership of control instance " + string(e.instance) + ": " + e.detail
+	return "change of control instance " + string(e.instance) + ": " + e.detail
 }
 
 // canChangeMembers reports whether the last membership change and the first entry of the leader's term are committed.
--- a/internal/traffic/backend/announce.go
+++ b/internal/traffic/backend/announce.go
@@ -232,7 +232,7 @@
 		return announced{}, Error.New("announcement: %w", err)
 	}
 	if _, err := netip.ParseAddrPort(b.Address); err != nil {
-		return announced{}, Error.New("announcement: address %q is not an IP address with a port", b.Address)
+		return announced{}, Error.New("announcement: address %q is no IP address with a port", b.Address)
 	}
 	if b.Slots < 1 || b.Slots > maxSlots {
 		return announced{}, Error.New("announcement: slots must be from 1 to %d", maxSlots)
--- a/internal/traffic/delivery/deliver.go
+++ b/internal/traffic/delivery/deliver.go
@@ -28,7 +28,7 @@
 // admit waits for a slot of the backend server, no longer than until the call's deadline.
 func (s *Server) admit(ctx context.Context, c *figpier.Call) (figpier.Ticket, error) {
 	if c.Service() != s.config.Service {
-		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoBackend, Detail: "the backend server runs another service"})
+		return nil, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoBackend, Detail: "another service is here"})
 	}
 	if _, err := s.backend.Address(); err != nil {
 		return nil, err
--- a/internal/traffic/shards/replication.go
+++ b/internal/traffic/shards/replication.go
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	if w.To != string(h.member) {
-		return nil, Error.New("the write is for member %s, which has ended", w.To)
+		return nil, Error.New("the write is for %s, which has ended", w.To)
 	}
 	r := h.replica(shard.ID(w.Shard))
 	r.mu.Lock()
--- a/internal/wire/codec/envelope.go
+++ b/internal/wire/codec/envelope.go
@@ -69,7 +69,7 @@
 func checkEnvelope(m message.Envelope) error {
 	switch {
 	case len(m.KeyDigest) != len(figpier.KeyDigest{}):
-		return Error.New("envelope: key digest has %d bytes", len(m.KeyDigest))
+		return Error.New("envelope: a key digest of %d bytes", len(m.KeyDigest))
 	case m.Priority < 0 || m.Priority > int(figpier.LowestPriority):
 		return Error.New("envelope: priority %d is out of range", m.Priority)
 	case m.Rank < 0 || m.Rank > int(figpier.MaxRank):
--- a/internal/wire/codec/pack.go
+++ b/internal/wire/codec/pack.go
@@ -32,7 +32,7 @@
 		return Error.Wrap(err)
 	}
 	if r.Len() > 0 {
-		return Error.New("%d unexpected bytes after a packed message", r.Len())
+		return Error.New("%d bytes behind a packed message", r.Len())
 	}
 	return nil
 }
--- a/internal/wire/codec/replica.go
+++ b/internal/wire/codec/replica.go
@@ -69,7 +69,7 @@
 		return nil, Error.New("command of entry %d: %w", m.Index, err)
 	}
 	if m.Index <= 0 || m.Term <= 0 {
-		return nil, Error.New("entry %d of term %d: index and term must be at least 1", m.Index, m.Term)
+		return nil, Error.New("entry %d of term %d: both count from 1", m.Index, m.Term)
 	}
 	return replica.NewEntry(replica.EntryConfig{
 		Index:    uint64(m.Index),
@@ -99,7 +99,7 @@
 			return nil, err
 		}
 		if i > 0 && e.Index() != entries[i-1].Index()+1 {
-			return nil, Error.New("entry %d does not directly follow entry %d", e.Index(), entries[i-1].Index())
+			return nil, Error.New("entry %d follows entry %d", e.Index(), entries[i-1].Index())
 		}
 		entries = append(entries, e)
 	}
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	if len(entries) > 0 && entries[0].Index() != uint64(m.Index)+1 {
-		return nil, Error.New("entry %d does not directly follow entry %d", entries[0].Index(), m.Index)
+		return nil, Error.New("entry %d follows entry %d", entries[0].Index(), m.Index)
 	}
 	part, err := base64.StdEncoding.DecodeString(m.Part)
 	if err != nil {
@@ -195,7 +195,7 @@
 	}
 	members := ToReplicaMembers(m.Members)
 	if m.Kind == string(replica.KindSnapshot) && members == nil {
-		return nil, Error.New("snapshot up to entry %d has no members", m.Index)
+		return nil, Error.New("snapshot to entry %d has no members", m.Index)
 	}
 	age := time.Duration(math.MaxInt64)
 	if m.QuorumAgeMicros != unknownAgeMicros {
