--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -22,10 +22,10 @@
 	"github.com/figpier/figpier/internal/link/jsonrpc"
 )
 
-// defaultMemberLease is how long a member lasts without renewal.
+// defaultMemberLease is how long a control instance lists a member that has not renewed its registration.
 const defaultMemberLease = 3 * time.Second
 
-// NewControl returns the kernel of a control instance with its services registered in starting order.
+// NewControl returns the kernel of a control instance, with its services registered in the order in which they start.
 func NewControl(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
 	c := s.Control()
 	if len(c.Seeds) > 0 {
@@ -44,7 +44,7 @@
 		Instance:   figpier.InstanceID(s.Instance()),
 		Address:    s.Messages(),
 		DataFolder: c.DataFolder,
-		Peers:      peers(c.Replicas),
+		Peers:      replicaPeers(c.Replicas),
 		Log:        l,
 	})
 	states := catalog.New()
@@ -52,19 +52,19 @@
 		Instance:   figpier.InstanceID(s.Instance()),
 		LeaseTime:  controlLease,
 		ClockError: controlClockError,
-		LossTime:   shardLossTime,
+		LossTime:   shardLossTimeout,
 		Backups:    shardBackups,
 		Log:        l,
 	})
 	log.Drive(machines.New(machines.Config{Catalog: states, Shards: assigner}))
-	return k, register(k,
+	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
-		jsonrpc.New(messages(s, security)),
+		jsonrpc.New(messengerConfig(s, security)),
 		log,
 		states,
 		members.New(members.Config{Lease: defaultMemberLease}),
 		exchange.New(exchange.Config{
-			Place:      controlPlace(s),
+			Place:      newControlPlace(s),
 			PollWait:   defaultPollWait,
 			AskTimeout: defaultAskTimeout,
 			RetryPause: defaultRetryPause,
@@ -82,7 +82,7 @@
 	)
 }
 
-func peers(list []settings.ReplicaSettings) []replica.PeerConfig {
+func replicaPeers(list []settings.ReplicaSettings) []replica.PeerConfig {
 	var all []replica.PeerConfig
 	for _, r := range list {
 		all = append(all, replica.PeerConfig{
@@ -93,7 +93,7 @@
 	return all
 }
 
-func controlPlace(s *settings.Settings) figpier.ControlPlace {
+func newControlPlace(s *settings.Settings) figpier.ControlPlace {
 	return figpier.NewControlPlace(figpier.ControlPlaceConfig{
 		Address:    s.Messages(),
 		DataCentre: figpier.DataCentre(s.DataCentre()),
--- a/internal/host/process/log.go
+++ b/internal/host/process/log.go
@@ -11,7 +11,7 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// NewLog returns the log of a process, to which the standard library's log goes too.
+// NewLog returns the logger of a process and redirects the standard library's logger to it.
 func NewLog(s *settings.Settings, output io.Writer) (*logrus.Entry, error) {
 	l, err := logs.New(logs.Config{
 		Output:   output,
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -35,56 +35,64 @@
 	"github.com/figpier/figpier/platform"
 )
 
-// Figures of a node in a mesh.
+// Timing and retry parameters of a node or control instance in a mesh.
 const (
-	// freshnessShare is the part of the withdrawal time for which a view is honoured; the rest covers clocks that drift.
-	freshnessShare = 0.8
-	// noticeShare is the part of the drain time for which new work is still taken; the rest covers requests under way.
-	noticeShare = 0.5
-	// servingShare is the part of the grace time for which open connections are served; the rest is left to the last answers.
-	servingShare = 0.6
-	// graceMargin is left between the end of a stop and the kill.
+	// freshnessFraction is the fraction of the withdrawal time for which a view stays valid; the rest allows for clock drift.
+	freshnessFraction = 0.8
+	// drainNoticeFraction is the fraction of the drain time in which new requests are still accepted; the rest is left to
+	// requests in flight.
+	drainNoticeFraction = 0.5
+	// servingFraction is the fraction of the grace time in which open connections are served; the rest is left to the last
+	// responses.
+	servingFraction = 0.6
+	// graceMargin is the time between the end of a planned stop and the kill of the process.
 	graceMargin = time.Second
-	// backendSilence is several intervals between announcements, which may be seconds late.
-	backendSilence = 15 * time.Second
-	// meshPollWait is how long a poll without news is held: a control instance that went silent is noticed after it and
-	// meshAskTimeout, and a configuration has to be in force two seconds after its acceptance.
+	// backendTimeout is the age at which the backend server's last announcement expires. It spans several announcement
+	// intervals, as announcements can be seconds late.
+	backendTimeout = 15 * time.Second
+	// meshPollWait is how long a control instance holds a poll that has no news. A node detects an unresponsive control
+	// instance after meshPollWait plus meshAskTimeout, and a configuration must be in force two seconds after its acceptance.
 	meshPollWait = 600 * time.Millisecond
-	// meshAskTimeout is many round trips between regions.
+	// meshAskTimeout is how long a node waits for the answer to a poll beyond meshPollWait: many round trips between regions.
 	meshAskTimeout = 400 * time.Millisecond
-	// meshExchangeWait is how long a poll between control instances is held: each one costs a kilobyte between regions.
+	// meshExchangeWait is how long a poll between control instances is held. Each poll sends a kilobyte between regions.
 	meshExchangeWait = 2500 * time.Millisecond
-	// meshSilence is two unanswered polls between control instances.
-	meshSilence = 6 * time.Second
-	// meshHeartbeat is a quarter of meshQuorumAge, so that a lost message makes no follower stale.
-	meshHeartbeat = 250 * time.Millisecond
-	// meshElection is several heartbeats and round trips between regions.
-	meshElection = 900 * time.Millisecond
-	// meshQuorumAge is several heartbeats of the leader.
-	meshQuorumAge = time.Second
-	// retryShareUsed is the part of the allowed retries that is spent: a retry repeats the calls below it too.
-	retryShareUsed = 0.5
-	// freeRetriesPerNode is a small part of the slack, which all nodes share.
+	// meshMemberTimeout is how long the members of an unresponsive control instance are kept: two unanswered polls.
+	meshMemberTimeout = 6 * time.Second
+	// meshHeartbeatInterval is the time between two heartbeats of the leader: a quarter of meshMaxQuorumAge, so that one lost
+	// message does not make a follower stale.
+	meshHeartbeatInterval = 250 * time.Millisecond
+	// meshElectionTimeout is the shortest election timeout: several heartbeats and round trips between regions.
+	meshElectionTimeout = 900 * time.Millisecond
+	// meshMaxQuorumAge is the time since its last proof of a quorum after which a control instance counts as behind: several
+	// heartbeats of the leader.
+	meshMaxQuorumAge = time.Second
+	// usedRetryFraction is the fraction of the allowed retries that a node makes, as a retry also repeats the calls further down the
+	// call tree.
+	usedRetryFraction = 0.5
+	// freeRetriesPerNode is the number of retries to a service that a node may make in a window regardless of its traffic. It is
+	// small because all nodes share the slack.
 	freeRetriesPerNode = 0.5
 )
 
-// NewMeshNode returns the kernel of a node that routes by the routing table, with its services registered in starting order.
+// NewMeshNode returns the kernel of a node that routes by the routing table, with its services registered in the order in which
+// they start.
 func NewMeshNode(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
 	m := s.Mesh()
 	service := figpier.UpstreamService(m.Service)
-	instance := incarnation(s)
+	instance := newIncarnation(s)
 	k := registry.New(registry.Config{Clock: system.Clock{}})
-	return k, register(k,
+	return k, registerAll(k,
 		logs.NewRequests(l),
 		metrics.New(metrics.Config{Address: s.Metrics()}),
-		seeds.New(seeds.Config{Path: s.Path(), Seeds: m.Seeds, Read: meshSeeds, Log: l}),
+		seeds.New(seeds.Config{Path: s.Path(), Seeds: m.Seeds, Read: seedAddresses, Log: l}),
 		jsonrpc.New(jsonrpc.Config{AskTimeout: defaultAskTimeout}),
 		control.New(control.Config{
 			DataCentre: figpier.DataCentre(s.DataCentre()),
 			Region:     figpier.Region(s.Region()),
-			Freshness:  part(m.Withdrawal, freshnessShare),
+			Freshness:  scaleDuration(m.Withdrawal, freshnessFraction),
 			Margin:     defaultStaleMargin,
-			QuorumAge:  meshQuorumAge,
+			QuorumAge:  meshMaxQuorumAge,
 			PollWait:   meshPollWait,
 			AskTimeout: meshAskTimeout,
 			RetryPause: defaultRetryPause,
@@ -102,38 +110,41 @@
 		hostgate.New(hostgate.Config{Service: service}),
 		upstream.New(upstream.Config{
 			Address: m.Backend,
-			Silence: backendSilence,
-			Notice:  part(m.Drain, noticeShare),
-			Member:  meshMember(s, instance),
+			Silence: backendTimeout,
+			Notice:  scaleDuration(m.Drain, drainNoticeFraction),
+			Member:  meshMemberConfig(s, instance),
 			Log:     l,
 		}),
 		platform.NewUpstream(platform.UpstreamConfig{Address: m.Announcements, Service: service, Log: l}),
 		delivery.New(delivery.Config{Address: m.Peers, Service: service}),
 		forward.New(forward.Config{
 			Instance:    instance,
-			RetryShare:  retryShareUsed * m.Retries.Share,
+			RetryShare:  usedRetryFraction * m.Retries.Share,
 			RetryWindow: m.Retries.Window,
 			FreeRetries: freeRetriesPerNode,
 		}),
 		platform.NewReadiness(platform.ReadinessConfig{Address: m.Readiness}),
 		platform.NewCallers(platform.CallersConfig{Address: m.Callers}),
-		stopping.New(stopping.Config{Serve: part(m.Grace, servingShare), Log: l}),
+		stopping.New(stopping.Config{Serve: scaleDuration(m.Grace, servingFraction), Log: l}),
 	)
 }
 
-func meshSeeds(s *settings.Settings) []string {
+// seedAddresses returns the seeds of a mesh node or of a control instance.
+func seedAddresses(s *settings.Settings) []string {
 	if s.Mesh() != nil {
 		return s.Mesh().Seeds
 	}
 	return s.Control().Seeds
 }
 
-// incarnation returns a name for this start of the process, so that no announcement of an earlier one is taken for its own.
-func incarnation(s *settings.Settings) figpier.InstanceID {
+// newIncarnation returns an instance name that is unique to this start of the process, so that announcements of an earlier start
+// are not attributed to it.
+func newIncarnation(s *settings.Settings) figpier.InstanceID {
 	return figpier.InstanceID(s.Instance() + "/" + rand.Text()[:8])
 }
 
-func meshMember(s *settings.Settings, instance figpier.InstanceID) figpier.MemberConfig {
+// meshMemberConfig returns what the node announces of itself to control instances.
+func meshMemberConfig(s *settings.Settings, instance figpier.InstanceID) figpier.MemberConfig {
 	return figpier.MemberConfig{
 		Instance:    instance,
 		Service:     figpier.UpstreamService(s.Mesh().Service),
@@ -143,12 +154,12 @@
 	}
 }
 
-// part returns a share of a length of time.
-func part(d time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(d))
+// scaleDuration returns a duration multiplied by a factor.
+func scaleDuration(d time.Duration, factor float64) time.Duration {
+	return time.Duration(factor * float64(d))
 }
 
-// newSeededControl returns the kernel of a control instance that finds the others through seeds.
+// newSeededControl returns the kernel of a control instance that finds the other ones through seed addresses.
 func newSeededControl(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
 	c := s.Control()
 	k := registry.New(registry.Config{Clock: system.Clock{}})
@@ -159,25 +170,25 @@
 		Seeded:     true,
 		Founder:    c.Founder,
 		Voters:     2*c.Losses + 1,
-		Heartbeat:  meshHeartbeat,
-		Election:   meshElection,
+		Heartbeat:  meshHeartbeatInterval,
+		Election:   meshElectionTimeout,
 		Log:        l,
 	})
 	states := catalog.New()
 	log.Drive(states)
-	return k, register(k,
+	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics()}),
-		seeds.New(seeds.Config{Path: s.Path(), Seeds: c.Seeds, Read: meshSeeds, Log: l}),
+		seeds.New(seeds.Config{Path: s.Path(), Seeds: c.Seeds, Read: seedAddresses, Log: l}),
 		jsonrpc.New(jsonrpc.Config{Address: s.Messages(), AskTimeout: defaultAskTimeout}),
 		log,
 		states,
 		members.New(members.Config{Lease: defaultMemberLease}),
 		exchange.New(exchange.Config{
-			Place:      controlPlace(s),
+			Place:      newControlPlace(s),
 			PollWait:   meshExchangeWait,
 			AskTimeout: defaultAskTimeout,
 			RetryPause: defaultRetryPause,
-			Silence:    meshSilence,
+			Silence:    meshMemberTimeout,
 		}),
 		subscription.New(),
 		pool.New(pool.Config{
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -31,26 +31,37 @@
 	"github.com/figpier/figpier/internal/traffic/shards"
 )
 
-// Defaults of a node.
+// Default timings of a node; some of them also apply to control instances.
 const (
-	defaultFreshness    = 3 * time.Second
-	defaultStaleMargin  = 500 * time.Millisecond
-	defaultAnnouncement = 3 * time.Second
-	defaultPollWait     = 500 * time.Millisecond
-	defaultAskTimeout   = 700 * time.Millisecond
-	defaultRetryPause   = 200 * time.Millisecond
-	defaultPingAfter    = 500 * time.Millisecond
-	defaultPeerPing     = 10 * time.Second
-	defaultLeaving      = 2 * time.Second
-	defaultGrace        = 30 * time.Second
+	// defaultMaxViewAge is the greatest age of the view of control state with which keys are accepted.
+	defaultMaxViewAge = 3 * time.Second
+	// defaultStaleMargin is how much older than its freshness limit the view is when running requests that came with a key are
+	// cancelled.
+	defaultStaleMargin = 500 * time.Millisecond
+	// defaultMaxAnnouncementAge is the greatest age of the backend server's announcement.
+	defaultMaxAnnouncementAge = 3 * time.Second
+	// defaultPollWait is how long a control instance holds a poll that has no news.
+	defaultPollWait = 500 * time.Millisecond
+	// defaultAskTimeout is how long a message may stay unanswered.
+	defaultAskTimeout = 700 * time.Millisecond
+	// defaultRetryPause is the pause after a failed poll.
+	defaultRetryPause = 200 * time.Millisecond
+	// defaultPingAfter is the idle time after which the connection to another node is pinged, and the time that the ping may take.
+	defaultPingAfter = 500 * time.Millisecond
+	// defaultPeerPingAfter is the idle time after which the listener for other nodes pings a connection.
+	defaultPeerPingAfter = 10 * time.Second
+	// defaultLeaveNotice is how long a node goes on serving after it announced that it leaves.
+	defaultLeaveNotice = 2 * time.Second
+	// defaultGrace is how long a planned stop waits for requests in flight.
+	defaultGrace = 30 * time.Second
 )
 
-// NewNode returns the kernel of a node with its services registered in starting order.
+// NewNode returns the kernel of a node with the default policies, with its services registered in the order in which they start.
 func NewNode(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
 	return NewNodeWith(s, l, Adaptive(s))
 }
 
-// NewNodeWith returns the kernel of a node that uses other policies.
+// NewNodeWith returns the kernel of a node that runs with the given policies, such as the baselines of a benchmark.
 func NewNodeWith(s *settings.Settings, l *logrus.Entry, p PolicyConfig) (*registry.Kernel, error) {
 	n := s.Node()
 	security, err := certificate.Load(s.TLS())
@@ -61,13 +72,13 @@
 	k := registry.New(registry.Config{Clock: clock})
 	service := figpier.UpstreamService(n.Service)
 	exits := exit.New(exit.Config{TLS: security.PeerClient(), PingAfter: defaultPingAfter})
-	return k, register(k,
+	return k, registerAll(k,
 		logs.NewRequests(l),
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
-		jsonrpc.New(messages(s, security)),
+		jsonrpc.New(messengerConfig(s, security)),
 		control.New(control.Config{
 			Controls:   n.Controls,
-			Freshness:  n.Freshness.Or(defaultFreshness),
+			Freshness:  n.Freshness.Or(defaultMaxViewAge),
 			Margin:     defaultStaleMargin,
 			PollWait:   defaultPollWait,
 			AskTimeout: defaultAskTimeout,
@@ -76,7 +87,7 @@
 		handles.New(),
 		locator.New(locator.Config{Controls: n.Controls}),
 		shards.New(shardsConfig(s)),
-		limiter.New(limiter.Config{Instance: figpier.InstanceID(s.Instance()), Patience: tokenPatience}),
+		limiter.New(limiter.Config{Instance: figpier.InstanceID(s.Instance()), Patience: tokenWaitTimeout}),
 		claims.New(),
 		ranks.New(),
 		cutoffs.New(),
@@ -89,23 +100,24 @@
 		exits,
 		backend.New(backend.Config{
 			Address:      n.Backend,
-			Announcement: n.Announcement.Or(defaultAnnouncement),
-			Notice:       n.Leaving.Or(defaultLeaving),
-			Member:       nodeMember(s, clock.Now()),
+			Announcement: n.Announcement.Or(defaultMaxAnnouncementAge),
+			Notice:       n.Leaving.Or(defaultLeaveNotice),
+			Member:       nodeMemberConfig(s, clock.Now()),
 		}, exits),
 		peer.New(peer.Config{
 			Address:   n.Peers,
 			TLS:       security.PeerServer(),
 			Service:   service,
-			PingAfter: defaultPeerPing,
+			PingAfter: defaultPeerPingAfter,
 		}),
 		caller.New(caller.Config{Address: n.Callers, TLS: security.Public()}),
-		leaving.New(leaving.Config{Notice: n.Leaving.Or(defaultLeaving)}),
+		leaving.New(leaving.Config{Notice: n.Leaving.Or(defaultLeaveNotice)}),
 	)
 }
 
-// nodeMember returns what the node announces, in an order that goes up with each start.
-func nodeMember(s *settings.Settings, started time.Time) figpier.MemberConfig {
+// nodeMemberConfig returns what the node announces of itself to control instances. The sequence number is the start time in
+// microseconds, so that it increases with each start.
+func nodeMemberConfig(s *settings.Settings, started time.Time) figpier.MemberConfig {
 	return figpier.MemberConfig{
 		Instance:       figpier.InstanceID(s.Instance()),
 		Service:        figpier.UpstreamService(s.Node().Service),
@@ -127,11 +139,12 @@
 		TokenLease: tokenLease,
 		ClockError: tokenClockError,
 		Retention:  claimRetention,
-		RunTime:    claimRunTime,
+		RunTime:    claimRunTimeout,
 	}
 }
 
-func messages(s *settings.Settings, c *certificate.Set) jsonrpc.Config {
+// messengerConfig returns the configuration of the messenger between processes.
+func messengerConfig(s *settings.Settings, c *certificate.Set) jsonrpc.Config {
 	return jsonrpc.Config{
 		Address:    s.Messages(),
 		ServerTLS:  c.PeerServer(),
@@ -140,7 +153,8 @@
 	}
 }
 
-func register(k *registry.Kernel, services ...figpier.Service) error {
+// registerAll registers services in the order in which they start.
+func registerAll(k *registry.Kernel, services ...figpier.Service) error {
 	for _, s := range services {
 		if err := k.Register(s); err != nil {
 			return err
@@ -149,7 +163,8 @@
 	return nil
 }
 
-// Grace returns the longest that a planned stop of the process may take.
+// Grace returns the longest time that a planned stop of the process may take. Where the settings name the time until the process
+// is killed, it ends graceMargin earlier.
 func Grace(s *settings.Settings) time.Duration {
 	if m := s.Mesh(); m != nil {
 		return m.Grace - graceMargin
@@ -158,7 +173,7 @@
 		return time.Duration(c.Grace) - graceMargin
 	}
 	if n := s.Node(); n != nil {
-		return n.Leaving.Or(defaultLeaving) + n.Grace.Or(defaultGrace)
+		return n.Leaving.Or(defaultLeaveNotice) + n.Grace.Or(defaultGrace)
 	}
 	return defaultGrace
 }
--- a/internal/host/process/policy.go
+++ b/internal/host/process/policy.go
@@ -11,17 +11,17 @@
 	"github.com/figpier/figpier/internal/traffic/router"
 )
 
-// PolicyConfig names the services that decide on calls under load.
+// PolicyConfig holds the services that decide on admission, routing and retries. A node needs all three.
 type PolicyConfig struct {
-	// Admission decides when the backend server runs a call.
+	// Admission decides when a call may run on the backend server.
 	Admission figpier.Admission
-	// Router picks the members that take exit calls.
+	// Router picks the member to which an exit call is sent.
 	Router figpier.Router
-	// Judge decides on retries.
+	// Judge decides whether a failed attempt is retried.
 	Judge figpier.RetryJudge
 }
 
-// Adaptive returns the policies that a node runs with.
+// Adaptive returns the policies that a node runs with by default.
 func Adaptive(s *settings.Settings) PolicyConfig {
 	return PolicyConfig{
 		Admission: admission.New(admission.Config{Service: figpier.UpstreamService(s.Node().Service)}),
@@ -34,7 +34,8 @@
 	}
 }
 
-// FixedSlots returns the baseline with as many calls at once as the backend server announced, and plain retries.
+// FixedSlots returns the baseline that runs at most as many concurrent calls as the backend server announced slots, with plain
+// retries.
 func FixedSlots() PolicyConfig {
 	return PolicyConfig{
 		Admission: fixed.NewAdmission(1),
@@ -43,7 +44,7 @@
 	}
 }
 
-// Uncontrolled returns the baseline without any limit, and with plain retries.
+// Uncontrolled returns the baseline without an admission limit, with plain retries.
 func Uncontrolled() PolicyConfig {
 	return PolicyConfig{
 		Admission: fixed.NewOpenAdmission(),
--- a/internal/host/process/shards.go
+++ b/internal/host/process/shards.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// controlLease is how long a node may act for its shards without renewal.
+	// controlLease is how long a node may act for its shards without renewing its control lease.
 	controlLease = 2 * time.Second
-	// controlClockError bounds how far two clocks drift apart during a control lease.
+	// controlClockError is the greatest drift between two clocks during a control lease.
 	controlClockError = 100 * time.Millisecond
-	// shardBackups is the number of backups of a shard of claims.
+	// shardBackups is the number of backups of a shard that stores claims.
 	shardBackups = 2
-	// shardLossTime is how long all members of a shard must be gone before its claims count as lost.
-	shardLossTime = time.Minute
-	// tokenLease is how long a node may spend leased tokens.
+	// shardLossTimeout is how long all members of a shard must be absent before its claims count as lost.
+	shardLossTimeout = time.Minute
+	// tokenLease is how long a node may spend the rate-limit tokens that it leased.
 	tokenLease = 500 * time.Millisecond
-	// tokenClockError bounds how far two clocks drift apart during a lease of tokens.
+	// tokenClockError is the greatest drift between two clocks during a token lease.
 	tokenClockError = 25 * time.Millisecond
-	// tokenPatience is how long a request waits for its token.
-	tokenPatience = 100 * time.Millisecond
-	// claimRetention is how long a claim is remembered.
+	// tokenWaitTimeout is how long a request waits for a rate-limit token.
+	tokenWaitTimeout = 100 * time.Millisecond
+	// claimRetention is how long a claim of an idempotency key is kept.
 	claimRetention = 24 * time.Hour
-	// claimRunTime is how long a claim stays running before its outcome counts as unknown.
-	claimRunTime = 5 * time.Minute
+	// claimRunTimeout is how long a claim may stay in the running state before its outcome counts as unknown.
+	claimRunTimeout = 5 * time.Minute
 )
