--- a/internal/host/jsonc/depth.go
+++ b/internal/host/jsonc/depth.go
@@ -2,11 +2,12 @@
 
 import "bytes"
 
-// maxDepth bounds the nesting of lists and objects, as the parser recurses for each level.
+// maxDepth is the number of nested lists and objects that is accepted. The parser recurses for each level.
 const maxDepth = 32
 
-// tooDeep returns the offset at which the nesting exceeds maxDepth.
-func tooDeep(data []byte) (offset int, deep bool) {
+// findExcessDepth returns the offset of the first bracket or brace that is nested more than maxDepth levels deep. Brackets
+// in strings and comments don't count.
+func findExcessDepth(data []byte) (offset int, exceeded bool) {
 	depth := 0
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
@@ -26,6 +27,7 @@
 	return 0, false
 }
 
+// endOfString returns the offset of the closing quote of the string that begins at start, or the length of data without one.
 func endOfString(data []byte, start int) int {
 	for i := start + 1; i < len(data); i++ {
 		switch data[i] {
@@ -38,6 +40,8 @@
 	return len(data)
 }
 
+// endOfComment returns the offset of the newline or the closing "*/" slash of the comment that begins at start. It returns the
+// length of data for an unterminated comment, and start if no comment begins there.
 func endOfComment(data []byte, start int) int {
 	rest := data[start:]
 	switch {
--- a/internal/host/jsonc/document.go
+++ b/internal/host/jsonc/document.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is one parsed file with the problems found in it so far.
+// Document is a parsed file. It collects the problems that are found while its fields are read.
 type Document struct {
 	name     string
 	data     []byte
@@ -17,28 +17,29 @@
 	problems []*Problem
 }
 
-// Parse parses JSON with comments, or returns a *ProblemsError; the name stands for the file in problems.
+// Parse parses JSON with comments. Problems show name as the name of the file. It returns a *ProblemsError if the syntax is wrong
+// or the nesting too deep.
 func Parse(name string, data []byte) (*Document, error) {
 	d := &Document{name: name, data: bytes.Clone(data)}
-	if offset, deep := tooDeep(d.data); deep {
-		d.add(d.lineAt(offset), "", fmt.Sprintf("more than %d lists and objects stand inside one another", maxDepth))
+	if offset, exceeded := findExcessDepth(d.data); exceeded {
+		d.addProblem(d.lineAt(offset), "", fmt.Sprintf("lists and objects are nested more than %d levels deep", maxDepth))
 		return nil, d.Err()
 	}
 	root, err := hujson.Parse(d.data)
 	if err != nil {
-		d.add(syntaxLine(err), "", "not JSON with comments: "+err.Error())
+		d.addProblem(syntaxLine(err), "", "not JSON with comments: "+err.Error())
 		return nil, d.Err()
 	}
 	d.root = root
 	return d, nil
 }
 
-// Root returns the object that the file holds.
+// Root returns the object at the top level of the file.
 func (d *Document) Root() *Object {
 	return (&Field{document: d, value: &d.root, set: true}).Object()
 }
 
-// Err returns a *ProblemsError when any problem was found.
+// Err returns a *ProblemsError with the problems found so far, nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -47,14 +48,16 @@
 	return &ProblemsError{problems: d.problems}
 }
 
-func (d *Document) add(line int, field, detail string) {
+func (d *Document) addProblem(line int, field, detail string) {
 	d.problems = append(d.problems, &Problem{file: d.name, line: line, field: field, detail: detail})
 }
 
+// lineAt returns the line number of a byte offset.
 func (d *Document) lineAt(offset int) int {
 	return 1 + bytes.Count(d.data[:min(offset, len(d.data))], []byte("\n"))
 }
 
+// syntaxLine returns the line number in an error of the parser, which has it only in its text, or 1 if the text has none.
 func syntaxLine(err error) int {
 	line := 1
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d,", &line); scanErr != nil {
--- a/internal/host/jsonc/field.go
+++ b/internal/host/jsonc/field.go
@@ -12,7 +12,8 @@
 
 const rateUnit = "/s"
 
-// Field is one value of a file, or a value that the file lacks.
+// Field is one value of a file, or a field that the file lacks. Methods that return a value return the zero value if the file
+// lacks the field or the value is wrong; a wrong value is reported as a problem.
 type Field struct {
 	document *Document
 	path     string
@@ -22,13 +23,13 @@
 	failed   bool
 }
 
-// Set reports whether the file has the field.
-func (f *Field) Set() bool { return f.set }
+// IsSet reports whether the file has the field.
+func (f *Field) IsSet() bool { return f.set }
 
-// Valid reports whether the file has the field and no problem was found with it.
+// Valid reports whether the file has the field and no problem with it has been reported so far.
 func (f *Field) Valid() bool { return f.set && !f.failed }
 
-// Line returns the field's line, or the line of its object where the file lacks it.
+// Line returns the line number of the field's value, or of the surrounding object if the file lacks the field.
 func (f *Field) Line() int {
 	if f.value == nil {
 		return f.line
@@ -39,82 +40,82 @@
 // Path returns the field's path, such as "routes[2].deadline".
 func (f *Field) Path() string { return f.path }
 
-// Fail reports a problem with the field, of which only the first counts.
-func (f *Field) Fail(format string, a ...any) {
+// Failf reports a problem with the field. Only the first problem of a field is kept.
+func (f *Field) Failf(format string, a ...any) {
 	if f.failed {
 		return
 	}
 	f.failed = true
-	f.document.add(f.Line(), f.path, fmt.Sprintf(format, a...))
+	f.document.addProblem(f.Line(), f.path, fmt.Sprintf(format, a...))
 }
 
 // Text returns a string.
 func (f *Field) Text() string {
-	l, ok := f.literal('"', "a text in double quotes")
+	l, ok := f.literal('"', "a string in double quotes")
 	if !ok {
 		return ""
 	}
 	return l.String()
 }
 
-// Name returns a string that is neither empty nor longer than a limit and has no white space or control characters.
-func (f *Field) Name(limit int) string {
+// Name returns a string of 1 to maxLength bytes without white space or control characters.
+func (f *Field) Name(maxLength int) string {
 	s := f.Text()
 	switch {
 	case !f.set || f.failed:
 	case s == "":
-		f.Fail("the name is empty")
-	case len(s) > limit:
-		f.Fail("the name is longer than %d bytes", limit)
+		f.Failf("the name is empty")
+	case len(s) > maxLength:
+		f.Failf("the name is longer than %d bytes", maxLength)
 	case strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		f.Fail("the name has white space or control characters")
+		f.Failf("the name contains white space or control characters")
 	}
 	return s
 }
 
-// Flag returns a boolean.
-func (f *Field) Flag() bool {
+// Bool returns a boolean.
+func (f *Field) Bool() bool {
 	if !f.set {
 		return false
 	}
 	l, ok := f.value.Value.(hujson.Literal)
 	if !ok || l.Kind() != 't' && l.Kind() != 'f' {
-		f.Fail("want true or false")
+		f.Failf("want true or false")
 		return false
 	}
 	return l.Bool()
 }
 
 // Integer returns a whole number within bounds.
-func (f *Field) Integer(least, most int64) int64 {
+func (f *Field) Integer(minimum, maximum int64) int64 {
 	l, ok := f.literal('0', "a whole number without a unit")
 	if !ok {
 		return 0
 	}
 	n, err := strconv.ParseInt(string(l), 10, 64)
-	if err != nil || n < least || n > most {
-		f.Fail("want a whole number from %d to %d", least, most)
+	if err != nil || n < minimum || n > maximum {
+		f.Failf("want a whole number from %d to %d", minimum, maximum)
 		return 0
 	}
 	return n
 }
 
 // Number returns a number within bounds.
-func (f *Field) Number(least, most float64) float64 {
+func (f *Field) Number(minimum, maximum float64) float64 {
 	l, ok := f.literal('0', "a number without a unit")
 	if !ok {
 		return 0
 	}
 	n := l.Float()
-	if math.IsNaN(n) || n < least || n > most {
-		f.Fail("want a number from %g to %g", least, most)
+	if math.IsNaN(n) || n < minimum || n > maximum {
+		f.Failf("want a number from %g to %g", minimum, maximum)
 		return 0
 	}
 	return n
 }
 
-// Duration returns a length of time within bounds, written with its unit as in "250ms".
-func (f *Field) Duration(least, most time.Duration) time.Duration {
+// Duration returns a duration within bounds, written as a string with a unit such as "250ms".
+func (f *Field) Duration(minimum, maximum time.Duration) time.Duration {
 	l, ok := f.literal('"', `a text with a unit such as "250ms" or "4s"`)
 	if !ok {
 		return 0
@@ -122,17 +123,17 @@
 	d, err := time.ParseDuration(l.String())
 	switch {
 	case err != nil:
-		f.Fail(`want a length of time with a unit such as "250ms" or "4s"`)
+		f.Failf(`want a duration with a unit such as "250ms" or "4s"`)
 		return 0
-	case d < least || d > most:
-		f.Fail("want a length of time from %v to %v", least, most)
+	case d < minimum || d > maximum:
+		f.Failf("want a duration from %v to %v", minimum, maximum)
 		return 0
 	}
 	return d
 }
 
-// Rate returns a rate per second within bounds, written with its unit as in "100/s".
-func (f *Field) Rate(least, most float64) float64 {
+// Rate returns a rate per second within bounds, written as a string with the unit "/s" such as "100/s".
+func (f *Field) Rate(minimum, maximum float64) float64 {
 	l, ok := f.literal('"', `a text with a unit such as "100/s"`)
 	if !ok {
 		return 0
@@ -141,23 +142,23 @@
 	n, err := strconv.ParseFloat(number, 64)
 	switch {
 	case err != nil || !hasUnit || math.IsNaN(n):
-		f.Fail(`want a rate with its unit such as "100/s"`)
+		f.Failf(`want a rate with its unit such as "100/s"`)
 		return 0
-	case n < least || n > most:
-		f.Fail("want a rate from %g/s to %g/s", least, most)
+	case n < minimum || n > maximum:
+		f.Failf("want a rate from %g/s to %g/s", minimum, maximum)
 		return 0
 	}
 	return n
 }
 
-// List runs a function for each element.
-func (f *Field) List(read func(*Field)) {
+// EachElement calls a function for each element of a list.
+func (f *Field) EachElement(read func(*Field)) {
 	if !f.set {
 		return
 	}
 	a, ok := f.value.Value.(*hujson.Array)
 	if !ok {
-		f.Fail("want a list in square brackets")
+		f.Failf("want a list in square brackets")
 		return
 	}
 	for i := range a.Elements {
@@ -170,7 +171,7 @@
 	}
 }
 
-// Object returns the object, which has no fields when the value is of another kind.
+// Object returns the value as an object, which is empty if the value is of another type.
 func (f *Field) Object() *Object {
 	o := newObject(f)
 	if !f.set {
@@ -178,20 +179,21 @@
 	}
 	v, ok := f.value.Value.(*hujson.Object)
 	if !ok {
-		f.Fail("want an object in braces")
+		f.Failf("want an object in braces")
 		return o
 	}
-	o.fill(v)
+	o.addMembers(v)
 	return o
 }
 
+// literal returns the value if it is a literal of the given kind, and otherwise reports that want was expected.
 func (f *Field) literal(kind hujson.Kind, want string) (hujson.Literal, bool) {
 	if !f.set {
 		return nil, false
 	}
 	l, ok := f.value.Value.(hujson.Literal)
 	if !ok || l.Kind() != kind {
-		f.Fail("want %s", want)
+		f.Failf("want %s", want)
 		return nil, false
 	}
 	return l, true
--- a/internal/host/jsonc/object.go
+++ b/internal/host/jsonc/object.go
@@ -7,14 +7,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// Object is a JSON object of which every field must be asked for.
+// Object is a JSON object. It records which of its fields were accessed, so that RejectUnknown can report the others.
 type Object struct {
 	document *Document
 	path     string
 	line     int
 	names    []string
 	fields   map[string]*Field
-	asked    map[string]bool
+	accessed map[string]bool
 }
 
 func newObject(f *Field) *Object {
@@ -23,17 +23,17 @@
 		path:     f.path,
 		line:     f.Line(),
 		fields:   map[string]*Field{},
-		asked:    map[string]bool{},
+		accessed: map[string]bool{},
 	}
 }
 
-func (o *Object) fill(v *hujson.Object) {
+func (o *Object) addMembers(v *hujson.Object) {
 	for i := range v.Members {
 		m := &v.Members[i]
 		name := memberName(m)
-		f := &Field{document: o.document, path: join(o.path, name), value: &m.Value, set: true}
-		if _, taken := o.fields[name]; taken {
-			f.Fail("the field is written twice")
+		f := &Field{document: o.document, path: joinPath(o.path, name), value: &m.Value, set: true}
+		if _, duplicate := o.fields[name]; duplicate {
+			f.Failf("duplicate field")
 			continue
 		}
 		o.names = append(o.names, name)
@@ -41,42 +41,42 @@
 	}
 }
 
-// Optional returns the field, which reads as its zero value where the file lacks it.
+// Optional returns a field. If the file lacks it, its methods return zero values and report no problem.
 func (o *Object) Optional(name string) *Field {
-	o.asked[name] = true
+	o.accessed[name] = true
 	if f, ok := o.fields[name]; ok {
 		return f
 	}
-	return &Field{document: o.document, path: join(o.path, name), line: o.line}
+	return &Field{document: o.document, path: joinPath(o.path, name), line: o.line}
 }
 
-// Required returns the field and reports it where the file lacks it.
+// Required returns a field and reports a problem if the file lacks it.
 func (o *Object) Required(name string) *Field {
 	f := o.Optional(name)
 	if !f.set {
-		f.Fail("the field is missing")
+		f.Failf("the field is missing")
 	}
 	return f
 }
 
-// Each runs a function for every field under its name, for objects whose names are free.
-func (o *Object) Each(read func(name string, f *Field)) {
+// EachField calls a function for every field in the order of the file. It serves objects whose field names are not fixed.
+func (o *Object) EachField(read func(name string, f *Field)) {
 	for _, n := range o.names {
-		o.asked[n] = true
+		o.accessed[n] = true
 		read(n, o.fields[n])
 	}
 }
 
-// Fail reports a problem with the object as a whole.
-func (o *Object) Fail(format string, a ...any) {
-	o.document.add(o.line, o.path, fmt.Sprintf(format, a...))
+// Failf reports a problem with the whole object.
+func (o *Object) Failf(format string, a ...any) {
+	o.document.addProblem(o.line, o.path, fmt.Sprintf(format, a...))
 }
 
-// Close reports the fields that were not asked for.
-func (o *Object) Close() {
+// RejectUnknown reports every field that was not accessed. It is called after the object's known fields have been read.
+func (o *Object) RejectUnknown() {
 	for _, n := range o.names {
-		if !o.asked[n] {
-			o.fields[n].Fail("the field is unknown: it is misspelt or stands in the wrong place")
+		if !o.accessed[n] {
+			o.fields[n].Failf("unknown field: it is misspelt or in the wrong place")
 		}
 	}
 }
@@ -89,6 +89,6 @@
 	return l.String()
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	return strings.TrimPrefix(path+"."+name, ".")
 }
--- a/internal/host/jsonc/problem.go
+++ b/internal/host/jsonc/problem.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Problem is one thing wrong in a file.
+// Problem is one error in a file and where it stands.
 type Problem struct {
 	file   string
 	line   int
@@ -16,13 +16,13 @@
 // File returns the name of the file.
 func (p *Problem) File() string { return p.file }
 
-// Line returns the line, counted from 1.
+// Line returns the line number, starting at 1.
 func (p *Problem) Line() int { return p.line }
 
-// Field returns the path of the field, such as "routes[2].deadline", empty for the whole file.
+// Field returns the path of the field, such as "routes[2].deadline". It is empty for a problem with the whole file.
 func (p *Problem) Field() string { return p.field }
 
-// Detail returns what is wrong and what to write in its place.
+// Detail describes the problem and, where possible, what the file should contain instead.
 func (p *Problem) Detail() string { return p.detail }
 
 // Error implements error.
@@ -33,15 +33,15 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.file, p.line, p.field, p.detail)
 }
 
-// ProblemsError lists everything wrong in a file in the order of its lines.
+// ProblemsError lists the problems of a file, at least one, in the order of their lines.
 type ProblemsError struct {
 	problems []*Problem
 }
 
-// Problems returns the problems, which number at least one.
+// Problems returns all problems in the order of their lines.
 func (e *ProblemsError) Problems() []*Problem { return e.problems }
 
-// First returns the problem nearest to the top of the file.
+// First returns the problem with the lowest line number.
 func (e *ProblemsError) First() *Problem { return e.problems[0] }
 
 // Error implements error.
--- a/internal/host/profile/read.go
+++ b/internal/host/profile/read.go
@@ -66,18 +66,18 @@
 		Limits:  map[figpier.CustomerID]figpier.Limit{},
 		Weights: map[figpier.CustomerID]float64{},
 	}
-	o.Required("routes").List(func(f *jsonc.Field) {
+	o.Required("routes").EachElement(func(f *jsonc.Field) {
 		c.Routes = append(c.Routes, readRoute(f.Object()))
 	})
 	c.DefaultLimit = readLimit(o.Required("defaultLimit"))
-	o.Optional("limits").Object().Each(func(name string, f *jsonc.Field) {
+	o.Optional("limits").Object().EachField(func(name string, f *jsonc.Field) {
 		c.Limits[readCustomer(name, f)] = readLimit(f)
 	})
-	o.Optional("weights").Object().Each(func(name string, f *jsonc.Field) {
+	o.Optional("weights").Object().EachField(func(name string, f *jsonc.Field) {
 		c.Weights[readCustomer(name, f)] = f.Number(minWeight, maxWeight)
 	})
 	c.Retry = readRetry(o.Required("retry"))
-	o.Close()
+	o.RejectUnknown()
 	return c
 }
 
@@ -98,15 +98,15 @@
 
 func readName(f *jsonc.Field) string {
 	s := f.Text()
-	if detail, ok := CheckName(s); f.Set() && !ok {
-		f.Fail("%s", detail)
+	if detail, ok := CheckName(s); f.IsSet() && !ok {
+		f.Failf("%s", detail)
 	}
 	return s
 }
 
 func readCustomer(name string, f *jsonc.Field) figpier.CustomerID {
 	if detail, ok := CheckName(name); !ok {
-		f.Fail("the customer: %s", detail)
+		f.Failf("the customer: %s", detail)
 	}
 	return figpier.CustomerID(name)
 }
@@ -117,18 +117,18 @@
 		Path:   readPath(o.Required("path")),
 		Priority: figpier.PriorityClass(o.Required("priority").
 			Integer(int64(figpier.HighestPriority), int64(figpier.LowestPriority))),
-		Idempotent: o.Required("idempotent").Flag(),
-		Open:       o.Optional("open").Flag(),
+		Idempotent: o.Required("idempotent").Bool(),
+		Open:       o.Optional("open").Bool(),
 		Deadline:   o.Required("deadline").Duration(minDeadline, maxDeadline),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewRoute(c)
 }
 
 func readMethod(f *jsonc.Field) string {
 	s := f.Text()
-	if f.Set() && !slices.Contains(methods, s) {
-		f.Fail("want one of %s", strings.Join(methods, ", "))
+	if f.IsSet() && !slices.Contains(methods, s) {
+		f.Failf("want one of %s", strings.Join(methods, ", "))
 	}
 	return s
 }
@@ -137,33 +137,33 @@
 	s := f.Name(maxPathLength)
 	stem := strings.TrimSuffix(s, wildcardEnding)
 	switch {
-	case !f.Set():
+	case !f.IsSet():
 	case !strings.HasPrefix(s, "/"):
-		f.Fail("a path begins with /")
+		f.Failf("a path begins with /")
 	case strings.Contains(stem, anotherWildcard):
-		f.Fail("a * stands only at the end, after a /")
+		f.Failf("a * stands only at the end, after a /")
 	case strings.ContainsAny(s, "?#"):
-		f.Fail("a path has no query or fragment")
+		f.Failf("a path has no query or fragment")
 	}
 	return s
 }
 
 func readLimit(f *jsonc.Field) figpier.Limit {
 	o := f.Object()
-	if !f.Set() {
+	if !f.IsSet() {
 		return figpier.Limit{}
 	}
 	c := figpier.LimitConfig{
 		Rate:  o.Required("rate").Rate(0, maxRate),
 		Burst: o.Required("burst").Number(0, maxBurst),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewLimit(c)
 }
 
 func readRetry(f *jsonc.Field) figpier.RetryPolicy {
 	o := f.Object()
-	if !f.Set() {
+	if !f.IsSet() {
 		return figpier.RetryPolicy{}
 	}
 	c := figpier.RetryConfig{
@@ -171,6 +171,6 @@
 		Share:          o.Required("share").Number(0, maxShare),
 		CallerInterval: o.Required("callerInterval").Duration(0, maxCallerPause),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewRetryPolicy(c)
 }
--- a/internal/host/settings/address.go
+++ b/internal/host/settings/address.go
@@ -33,9 +33,9 @@
 	}
 	switch {
 	case s == reachable && a.Addr().IsUnspecified():
-		f.Fail("other processes connect to this address: write the IP number of this one")
+		f.Failf("other processes connect to this address: write the IP number of this one")
 	case s == loopback && !a.Addr().IsLoopback():
-		f.Fail("want a loopback address such as \"127.0.0.1:7005\"")
+		f.Failf("want a loopback address such as \"127.0.0.1:7005\"")
 	}
 	r.endpoints = append(r.endpoints, endpoint{field: f, address: a, listener: true})
 	return a.String()
@@ -48,7 +48,7 @@
 		return ""
 	}
 	if a.Addr().IsUnspecified() {
-		f.Fail("want the IP number of another process")
+		f.Failf("want the IP number of another process")
 	}
 	r.endpoints = append(r.endpoints, endpoint{field: f, address: a})
 	return a.String()
@@ -61,11 +61,11 @@
 	}
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
-		f.Fail("want an IP number and a port such as \"127.0.0.1:7001\", not a host name")
+		f.Failf("want an IP number and a port such as \"127.0.0.1:7001\", not a host name")
 		return netip.AddrPort{}, false
 	}
 	if a.Port() == 0 {
-		f.Fail("want a port from 1 to 65535")
+		f.Failf("want a port from 1 to 65535")
 		return netip.AddrPort{}, false
 	}
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), true
@@ -75,11 +75,11 @@
 func (r *reader) checkEndpoints(secure bool) {
 	for i, e := range r.endpoints {
 		if !secure && !e.address.Addr().IsLoopback() {
-			e.field.Fail("an address other than a loopback one needs the section \"tls\"")
+			e.field.Failf("an address other than a loopback one needs the section \"tls\"")
 		}
 		for _, other := range r.endpoints[:i] {
 			if e.clashes(other) {
-				e.field.Fail("%s listens on this port too", other.field.Path())
+				e.field.Failf("%s listens on this port too", other.field.Path())
 			}
 		}
 	}
--- a/internal/host/settings/mesh.go
+++ b/internal/host/settings/mesh.go
@@ -30,7 +30,7 @@
 		Retries:       allowance(o.Required("retries").Object()),
 		Quota:         allowance(o.Required("quota").Object()),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -40,7 +40,7 @@
 		Share:  o.Required("share").Number(0, maxShare),
 		Slack:  o.Required("slack").Number(0, maxSlack),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -49,13 +49,13 @@
 	s := &ControlSettings{
 		Tables:     r.listener(o.Required("tables"), anyAddress),
 		Seeds:      seeds(f, p),
-		Founder:    o.Required("founder").Flag(),
+		Founder:    o.Required("founder").Bool(),
 		Losses:     int(o.Required("losses").Integer(0, maxLosses)),
 		Grace:      duration(o.Required("grace"), maxStop),
 		Quota:      allowance(o.Required("quota").Object()),
 		DataFolder: path(o.Required("dataFolder")),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -67,7 +67,7 @@
 		return nil
 	}
 	var all []string
-	f.List(func(e *jsonc.Field) {
+	f.EachElement(func(e *jsonc.Field) {
 		a, ok := address(e)
 		if !ok {
 			return
@@ -78,7 +78,7 @@
 		}
 	})
 	if f.Valid() && (len(all) == 0 || len(all) > maxSeeds) {
-		f.Fail("want from 1 to %d seeds", maxSeeds)
+		f.Failf("want from 1 to %d seeds", maxSeeds)
 	}
 	return all
 }
--- a/internal/host/settings/read.go
+++ b/internal/host/settings/read.go
@@ -58,7 +58,7 @@
 func readable(f *jsonc.Field, path string) {
 	file, err := os.Open(path)
 	if err != nil {
-		f.Fail("the file can't be read: %v", err)
+		f.Failf("the file can't be read: %v", err)
 		return
 	}
 	_ = file.Close()
@@ -73,23 +73,23 @@
 		Messages:   r.listener(o.Required("messages"), reachable),
 		Metrics:    r.listener(o.Optional("metrics"), anyAddress),
 	}
-	s.Private = o.Optional("privateNetwork").Flag()
-	if f := o.Optional("tls"); f.Set() {
+	s.Private = o.Optional("privateNetwork").Bool()
+	if f := o.Optional("tls"); f.IsSet() {
 		s.TLS = r.security(f.Object())
 	}
-	if f := o.Optional("node"); f.Set() {
+	if f := o.Optional("node"); f.IsSet() {
 		s.Node = r.node(f.Object())
 	}
-	if f := o.Optional("mesh"); f.Set() {
+	if f := o.Optional("mesh"); f.IsSet() {
 		s.Mesh = r.mesh(f.Object(), s)
 	}
-	if f := o.Optional("control"); f.Set() {
+	if f := o.Optional("control"); f.IsSet() {
 		s.Control = r.control(f.Object(), s)
 	}
 	if s.Node == nil && s.Control == nil && s.Mesh == nil {
-		o.Fail("the file has neither a section \"node\" nor a section \"mesh\" nor a section \"control\"")
+		o.Failf("the file has neither a section \"node\" nor a section \"mesh\" nor a section \"control\"")
 	}
-	o.Close()
+	o.RejectUnknown()
 	r.checkEndpoints(s.TLS != nil || s.Private)
 	return s
 }
@@ -100,7 +100,7 @@
 		Certificate: r.file(o.Required("certificate")),
 		Key:         r.file(o.Required("key")),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -116,22 +116,22 @@
 		Grace:        duration(o.Optional("grace"), maxStop),
 	}
 	controls := o.Required("controls")
-	controls.List(func(f *jsonc.Field) {
+	controls.EachElement(func(f *jsonc.Field) {
 		a := r.remote(f)
 		if slices.Contains(s.Controls, a) {
-			f.Fail("the address is written twice")
+			f.Failf("the address is written twice")
 		}
 		s.Controls = append(s.Controls, a)
 	})
-	if controls.Set() && len(s.Controls) == 0 {
-		controls.Fail("the list is empty: write the message address of at least one control instance")
+	if controls.IsSet() && len(s.Controls) == 0 {
+		controls.Failf("the list is empty: write the message address of at least one control instance")
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
 func (r *reader) control(o *jsonc.Object, p processSettings) *ControlSettings {
-	if f := o.Optional("seeds"); f.Set() {
+	if f := o.Optional("seeds"); f.IsSet() {
 		return r.seeded(o, f, p)
 	}
 	s := &ControlSettings{
@@ -140,17 +140,17 @@
 		OperatorTokens: r.file(o.Required("operatorTokens")),
 	}
 	replicas := o.Required("replicas")
-	replicas.List(func(f *jsonc.Field) {
+	replicas.EachElement(func(f *jsonc.Field) {
 		s.Replicas = append(s.Replicas, r.replica(f.Object(), s.Replicas, p))
 	})
 	switch {
-	case !replicas.Set():
+	case !replicas.IsSet():
 	case len(s.Replicas) > maxReplicas:
-		replicas.Fail("want at most %d control instances", maxReplicas)
+		replicas.Failf("want at most %d control instances", maxReplicas)
 	case !slices.ContainsFunc(s.Replicas, func(m ReplicaSettings) bool { return m.Instance == p.Instance }):
-		replicas.Fail("this instance, %q, is not in the list", p.Instance)
+		replicas.Failf("this instance, %q, is not in the list", p.Instance)
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -159,16 +159,16 @@
 	s := ReplicaSettings{Instance: name(instance), Address: r.remote(address)}
 	for _, m := range others {
 		if m.Instance == s.Instance {
-			instance.Fail("another control instance has this name")
+			instance.Failf("another control instance has this name")
 		}
 		if m.Address == s.Address {
-			address.Fail("another control instance has this address")
+			address.Failf("another control instance has this address")
 		}
 	}
 	if s.Instance == p.Instance && s.Address != p.Messages {
-		address.Fail("this instance has another address in \"messages\", %q", p.Messages)
+		address.Failf("this instance has another address in \"messages\", %q", p.Messages)
 	}
-	o.Close()
+	o.RejectUnknown()
 	return s
 }
 
@@ -183,7 +183,7 @@
 func path(f *jsonc.Field) string {
 	s := f.Text()
 	if f.Valid() && (s == "" || len(s) > maxPathLength || strings.ContainsRune(s, 0)) {
-		f.Fail("want a path of 1 to %d bytes", maxPathLength)
+		f.Failf("want a path of 1 to %d bytes", maxPathLength)
 	}
 	return s
 }
@@ -191,7 +191,7 @@
 func name(f *jsonc.Field) string {
 	s := f.Text()
 	if detail, ok := profile.CheckName(s); f.Valid() && !ok {
-		f.Fail("%s", detail)
+		f.Failf("%s", detail)
 	}
 	return s
 }
@@ -199,7 +199,7 @@
 func logLevel(f *jsonc.Field) string {
 	s := f.Text()
 	if f.Valid() && !slices.Contains(logLevels, s) {
-		f.Fail("want one of %s", strings.Join(logLevels, ", "))
+		f.Failf("want one of %s", strings.Join(logLevels, ", "))
 	}
 	return s
 }
