--- a/internal/host/settings/doc.go
+++ b/internal/host/settings/doc.go
@@ -1,2 +1,2 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads the settings file of a process and checks every field of it.
 package settings
--- a/internal/host/settings/mesh.go
+++ b/internal/host/settings/mesh.go
@@ -7,78 +7,80 @@
 	"github.com/figpier/figpier/internal/host/jsonc"
 )
 
-// Bounds of the settings of a mesh.
+// Upper bounds of the settings of a mesh.
 const (
-	maxSeeds  = 9
-	maxLosses = 4
-	maxShare  = 10.0
-	maxSlack  = 1e6
+	maxSeeds          = 9
+	maxLosses         = 4
+	maxAllowanceShare = 10.0
+	maxAllowanceSlack = 1e6
 )
 
-func (r *reader) mesh(o *jsonc.Object, p processSettings) *MeshSettings {
+// readMesh reads the section "mesh", in which the timings are required and have no defaults.
+func (r *reader) readMesh(o *jsonc.Object, p processSettings) *MeshSettings {
 	s := &MeshSettings{
-		Service:       name(o.Required("service")),
-		Callers:       r.listener(o.Required("callers"), anyAddress),
-		Peers:         r.listener(o.Required("peers"), reachable),
-		Announcements: r.listener(o.Required("announcements"), anyAddress),
-		Readiness:     r.listener(o.Required("readiness"), anyAddress),
-		Backend:       r.remote(o.Required("backend")),
-		Seeds:         seeds(o.Required("seeds"), p),
-		Withdrawal:    o.Required("withdrawal").Duration(minDuration, maxStop),
-		Drain:         o.Required("drain").Duration(minDuration, maxStop),
-		Grace:         o.Required("grace").Duration(minDuration, maxStop),
-		Retries:       allowance(o.Required("retries").Object()),
-		Quota:         allowance(o.Required("quota").Object()),
+		Service:       readName(o.Required("service")),
+		Callers:       r.readListenAddress(o.Required("callers"), anyAddress),
+		Peers:         r.readListenAddress(o.Required("peers"), connectableAddress),
+		Announcements: r.readListenAddress(o.Required("announcements"), anyAddress),
+		Readiness:     r.readListenAddress(o.Required("readiness"), anyAddress),
+		Backend:       r.readRemoteAddress(o.Required("backend")),
+		Seeds:         readSeeds(o.Required("seeds"), p),
+		Withdrawal:    o.Required("withdrawal").Duration(minDuration, maxDuration),
+		Drain:         o.Required("drain").Duration(minDuration, maxDuration),
+		Grace:         o.Required("grace").Duration(minDuration, maxDuration),
+		Retries:       readAllowance(o.Required("retries").Object()),
+		Quota:         readAllowance(o.Required("quota").Object()),
 	}
 	o.RejectUnknown()
 	return s
 }
 
-func allowance(o *jsonc.Object) AllowanceSettings {
+// readAllowance reads a bound on a count over a sliding window.
+func readAllowance(o *jsonc.Object) AllowanceSettings {
 	s := AllowanceSettings{
-		Window: o.Required("window").Duration(minDuration, maxStop),
-		Share:  o.Required("share").Number(0, maxShare),
-		Slack:  o.Required("slack").Number(0, maxSlack),
+		Window: o.Required("window").Duration(minDuration, maxDuration),
+		Share:  o.Required("share").Number(0, maxAllowanceShare),
+		Slack:  o.Required("slack").Number(0, maxAllowanceSlack),
 	}
 	o.RejectUnknown()
 	return s
 }
 
-// seeded reads a control instance that finds the others through seeds.
-func (r *reader) seeded(o *jsonc.Object, f *jsonc.Field, p processSettings) *ControlSettings {
+// readSeededControl reads the section "control" of a control instance that finds the other ones through the seeds in f.
+func (r *reader) readSeededControl(o *jsonc.Object, f *jsonc.Field, p processSettings) *ControlSettings {
 	s := &ControlSettings{
-		Tables:     r.listener(o.Required("tables"), anyAddress),
-		Seeds:      seeds(f, p),
+		Tables:     r.readListenAddress(o.Required("tables"), anyAddress),
+		Seeds:      readSeeds(f, p),
 		Founder:    o.Required("founder").Bool(),
 		Losses:     int(o.Required("losses").Integer(0, maxLosses)),
-		Grace:      duration(o.Required("grace"), maxStop),
-		Quota:      allowance(o.Required("quota").Object()),
-		DataFolder: path(o.Required("dataFolder")),
+		Grace:      readDuration(o.Required("grace"), maxDuration),
+		Quota:      readAllowance(o.Required("quota").Object()),
+		DataFolder: readPath(o.Required("dataFolder")),
 	}
 	o.RejectUnknown()
 	return s
 }
 
-// seeds reads the instances on which control instances run. Messages go to the port of this process's own messages, so that
-// a list with the ports of another listener may be used.
-func seeds(f *jsonc.Field, p processSettings) []string {
+// readSeeds reads the addresses of instances on which control instances run, and drops duplicates. The port of each is replaced by
+// the port of this process's own message address, so that the list may name the ports of another listener.
+func readSeeds(f *jsonc.Field, p processSettings) []string {
 	own, err := netip.ParseAddrPort(p.Messages)
 	if err != nil {
 		return nil
 	}
-	var all []string
+	var seeds []string
 	f.EachElement(func(e *jsonc.Field) {
-		a, ok := address(e)
+		a, ok := parseAddress(e)
 		if !ok {
 			return
 		}
 		seed := netip.AddrPortFrom(a.Addr(), own.Port()).String()
-		if !slices.Contains(all, seed) {
-			all = append(all, seed)
+		if !slices.Contains(seeds, seed) {
+			seeds = append(seeds, seed)
 		}
 	})
-	if f.Valid() && (len(all) == 0 || len(all) > maxSeeds) {
-		f.Failf("want from 1 to %d seeds", maxSeeds)
+	if f.Valid() && (len(seeds) == 0 || len(seeds) > maxSeeds) {
+		f.Failf("want 1 to %d seeds", maxSeeds)
 	}
-	return all
+	return seeds
 }
--- a/internal/host/settings/mesh_test.go
+++ b/internal/host/settings/mesh_test.go
@@ -35,7 +35,7 @@
 }
 `
 
-func TestParseOfAMesh(t *testing.T) {
+func TestParseMesh(t *testing.T) {
 	s, err := Parse("mesh", []byte(meshFile))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, s.Mesh().Seeds, []string{"10.1.0.30:7000", "10.2.0.27:7000"})
@@ -49,17 +49,17 @@
 	assert.Equal(t, s.Control().Losses, 2)
 }
 
-func TestParseOfAMeshRefuses(t *testing.T) {
+func TestParseRejectsInvalidMesh(t *testing.T) {
 	tests := []struct {
 		name, file, replace, by, want string
 	}{
-		{"open network", meshFile, `"privateNetwork": true`, `"privateNetwork": false`, "tls"},
+		{"no private network", meshFile, `"privateNetwork": true`, `"privateNetwork": false`, "tls"},
 		{"no seeds", meshFile, `["10.1.0.30:8540", "10.2.0.27:8540", "10.2.0.27:8540"]`, `[]`, "seeds"},
 		{"host name as seed", meshFile, `"10.1.0.30:8540"`, `"control:8540"`, "seeds"},
 		{"no withdrawal", meshFile, `"withdrawal": "5000ms",`, ``, "withdrawal"},
 		{"share below 0", meshFile, `"share": 0.2`, `"share": -1`, "share"},
-		{"field that nobody knows", meshFile, `"drain"`, `"drian"`, "drian"},
-		{"one port twice", meshFile, `10.1.0.1:8546`, `10.1.0.1:8543`, "listens on this port too"},
+		{"unknown field", meshFile, `"drain"`, `"drian"`, "drian"},
+		{"port clash", meshFile, `10.1.0.1:8546`, `10.1.0.1:8543`, "listens on this port too"},
 		{"too many losses", seededFile, `"losses": 2`, `"losses": 5`, "losses"},
 		{"no quota", seededFile, `"quota": {"window": "5s", "share": 0.1, "slack": 20},`, ``, "quota"},
 	}
--- a/internal/host/settings/read.go
+++ b/internal/host/settings/read.go
@@ -17,27 +17,30 @@
 	minDuration     = 100 * time.Millisecond
 	maxFreshness    = 4 * time.Second
 	maxAnnouncement = time.Minute
-	maxStop         = time.Hour
+	maxDuration     = time.Hour
 )
 
 var logLevels = []string{"error", "warn", "info", "debug"}
 
-// Read reads and checks a settings file and that the files that it names exist, or returns an Error or a *jsonc.ProblemsError.
+// Read reads and checks a settings file, and checks that the files that it names can be opened. It returns an Error if the
+// settings file can't be read, and a *jsonc.ProblemsError if its content is invalid.
 func Read(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return parse(path, data, readable)
+	return parse(path, data, checkReadable)
 }
 
-// Parse checks the text of a settings file without a look at other files, or returns a *jsonc.ProblemsError; the name stands for the file.
+// Parse checks the text of a settings file but not the files that it names. Problems show name as the name of the file. It returns
+// a *jsonc.ProblemsError if the text is invalid.
 func Parse(name string, data []byte) (*Settings, error) {
 	return parse(name, data, func(*jsonc.Field, string) {})
 }
 
-// reader fills settings and collects the addresses to hold against one another.
+// reader reads settings and collects their addresses, which checkEndpoints compares.
 type reader struct {
+	// checkFile reports a problem with the file at a path that the settings name.
 	checkFile func(f *jsonc.Field, path string)
 	endpoints []endpoint
 }
@@ -48,14 +51,15 @@
 		return nil, err
 	}
 	r := &reader{checkFile: checkFile}
-	s := &Settings{processSettings: r.process(d.Root()), path: name}
+	s := &Settings{processSettings: r.readProcess(d.Root()), path: name}
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-func readable(f *jsonc.Field, path string) {
+// checkReadable reports a problem with the field if the file at path can't be opened.
+func checkReadable(f *jsonc.Field, path string) {
 	file, err := os.Open(path)
 	if err != nil {
 		f.Failf("the file can't be read: %v", err)
@@ -64,84 +68,88 @@
 	_ = file.Close()
 }
 
-func (r *reader) process(o *jsonc.Object) processSettings {
+// readProcess reads the object at the top level of the file.
+func (r *reader) readProcess(o *jsonc.Object) processSettings {
 	s := processSettings{
-		Instance:   name(o.Required("instance")),
-		DataCentre: name(o.Required("dataCentre")),
-		Region:     name(o.Required("region")),
-		LogLevel:   logLevel(o.Optional("logLevel")),
-		Messages:   r.listener(o.Required("messages"), reachable),
-		Metrics:    r.listener(o.Optional("metrics"), anyAddress),
-	}
-	s.Private = o.Optional("privateNetwork").Bool()
+		Instance:   readName(o.Required("instance")),
+		DataCentre: readName(o.Required("dataCentre")),
+		Region:     readName(o.Required("region")),
+		LogLevel:   readLogLevel(o.Optional("logLevel")),
+		Messages:   r.readListenAddress(o.Required("messages"), connectableAddress),
+		Metrics:    r.readListenAddress(o.Optional("metrics"), anyAddress),
+	}
+	s.PrivateNetwork = o.Optional("privateNetwork").Bool()
 	if f := o.Optional("tls"); f.IsSet() {
-		s.TLS = r.security(f.Object())
+		s.TLS = r.readTLS(f.Object())
 	}
 	if f := o.Optional("node"); f.IsSet() {
-		s.Node = r.node(f.Object())
+		s.Node = r.readNode(f.Object())
 	}
 	if f := o.Optional("mesh"); f.IsSet() {
-		s.Mesh = r.mesh(f.Object(), s)
+		s.Mesh = r.readMesh(f.Object(), s)
 	}
 	if f := o.Optional("control"); f.IsSet() {
-		s.Control = r.control(f.Object(), s)
+		s.Control = r.readControl(f.Object(), s)
 	}
 	if s.Node == nil && s.Control == nil && s.Mesh == nil {
-		o.Failf("the file has neither a section \"node\" nor a section \"mesh\" nor a section \"control\"")
+		o.Failf("want a section \"node\", \"mesh\" or \"control\"")
 	}
 	o.RejectUnknown()
-	r.checkEndpoints(s.TLS != nil || s.Private)
+	r.checkEndpoints(s.TLS != nil || s.PrivateNetwork)
 	return s
 }
 
-func (r *reader) security(o *jsonc.Object) *TLSSettings {
+// readTLS reads the section "tls".
+func (r *reader) readTLS(o *jsonc.Object) *TLSSettings {
 	s := &TLSSettings{
-		Authority:   r.file(o.Required("authority")),
-		Certificate: r.file(o.Required("certificate")),
-		Key:         r.file(o.Required("key")),
+		Authority:   r.readFilePath(o.Required("authority")),
+		Certificate: r.readFilePath(o.Required("certificate")),
+		Key:         r.readFilePath(o.Required("key")),
 	}
 	o.RejectUnknown()
 	return s
 }
 
-func (r *reader) node(o *jsonc.Object) *NodeSettings {
+// readNode reads the section "node".
+func (r *reader) readNode(o *jsonc.Object) *NodeSettings {
 	s := &NodeSettings{
-		Service:      name(o.Required("service")),
-		Callers:      r.listener(o.Required("callers"), anyAddress),
-		Peers:        r.listener(o.Required("peers"), reachable),
-		Backend:      r.listener(o.Required("backend"), loopback),
-		Freshness:    duration(o.Optional("freshness"), maxFreshness),
-		Announcement: duration(o.Optional("announcement"), maxAnnouncement),
-		Leaving:      duration(o.Optional("leaving"), maxStop),
-		Grace:        duration(o.Optional("grace"), maxStop),
+		Service:      readName(o.Required("service")),
+		Callers:      r.readListenAddress(o.Required("callers"), anyAddress),
+		Peers:        r.readListenAddress(o.Required("peers"), connectableAddress),
+		Backend:      r.readListenAddress(o.Required("backend"), loopbackAddress),
+		Freshness:    readDuration(o.Optional("freshness"), maxFreshness),
+		Announcement: readDuration(o.Optional("announcement"), maxAnnouncement),
+		Leaving:      readDuration(o.Optional("leaving"), maxDuration),
+		Grace:        readDuration(o.Optional("grace"), maxDuration),
 	}
 	controls := o.Required("controls")
 	controls.EachElement(func(f *jsonc.Field) {
-		a := r.remote(f)
+		a := r.readRemoteAddress(f)
 		if slices.Contains(s.Controls, a) {
-			f.Failf("the address is written twice")
+			f.Failf("duplicate address")
 		}
 		s.Controls = append(s.Controls, a)
 	})
 	if controls.IsSet() && len(s.Controls) == 0 {
-		controls.Failf("the list is empty: write the message address of at least one control instance")
+		controls.Failf("the list is empty: want the message address of at least one control instance")
 	}
 	o.RejectUnknown()
 	return s
 }
 
-func (r *reader) control(o *jsonc.Object, p processSettings) *ControlSettings {
+// readControl reads the section "control". A control instance with seeds has other fields than one with a list of replicas.
+func (r *reader) readControl(o *jsonc.Object, p processSettings) *ControlSettings {
 	if f := o.Optional("seeds"); f.IsSet() {
-		return r.seeded(o, f, p)
+		return r.readSeededControl(o, f, p)
 	}
 	s := &ControlSettings{
-		DataFolder:     path(o.Required("dataFolder")),
-		Operators:      r.listener(o.Required("operators"), anyAddress),
-		OperatorTokens: r.file(o.Required("operatorTokens")),
+		DataFolder:     readPath(o.Required("dataFolder")),
+		Operators:      r.readListenAddress(o.Required("operators"), anyAddress),
+		OperatorTokens: r.readFilePath(o.Required("operatorTokens")),
 	}
 	replicas := o.Required("replicas")
 	replicas.EachElement(func(f *jsonc.Field) {
-		s.Replicas = append(s.Replicas, r.replica(f.Object(), s.Replicas, p))
+		s.Replicas = append(s.Replicas, r.readReplica(f.Object(), s.Replicas, p))
 	})
 	switch {
 	case !replicas.IsSet():
@@ -154,9 +162,10 @@
 	return s
 }
 
-func (r *reader) replica(o *jsonc.Object, others []ReplicaSettings, p processSettings) ReplicaSettings {
+// readReplica reads one entry of the list of replicas and compares it with the entries before it.
+func (r *reader) readReplica(o *jsonc.Object, others []ReplicaSettings, p processSettings) ReplicaSettings {
 	instance, address := o.Required("instance"), o.Required("address")
-	s := ReplicaSettings{Instance: name(instance), Address: r.remote(address)}
+	s := ReplicaSettings{Instance: readName(instance), Address: r.readRemoteAddress(address)}
 	for _, m := range others {
 		if m.Instance == s.Instance {
 			instance.Failf("another control instance has this name")
@@ -166,21 +175,23 @@
 		}
 	}
 	if s.Instance == p.Instance && s.Address != p.Messages {
-		address.Failf("this instance has another address in \"messages\", %q", p.Messages)
+		address.Failf("the address differs from this instance's address in \"messages\", %q", p.Messages)
 	}
 	o.RejectUnknown()
 	return s
 }
 
-func (r *reader) file(f *jsonc.Field) string {
-	s := path(f)
+// readFilePath reads the path of a file that must exist.
+func (r *reader) readFilePath(f *jsonc.Field) string {
+	s := readPath(f)
 	if f.Valid() {
 		r.checkFile(f, s)
 	}
 	return s
 }
 
-func path(f *jsonc.Field) string {
+// readPath reads a path and does not access the file system.
+func readPath(f *jsonc.Field) string {
 	s := f.Text()
 	if f.Valid() && (s == "" || len(s) > maxPathLength || strings.ContainsRune(s, 0)) {
 		f.Failf("want a path of 1 to %d bytes", maxPathLength)
@@ -188,7 +199,8 @@
 	return s
 }
 
-func name(f *jsonc.Field) string {
+// readName reads the name of an instance, a data centre, a region or a service.
+func readName(f *jsonc.Field) string {
 	s := f.Text()
 	if detail, ok := profile.CheckName(s); f.Valid() && !ok {
 		f.Failf("%s", detail)
@@ -196,7 +208,7 @@
 	return s
 }
 
-func logLevel(f *jsonc.Field) string {
+func readLogLevel(f *jsonc.Field) string {
 	s := f.Text()
 	if f.Valid() && !slices.Contains(logLevels, s) {
 		f.Failf("want one of %s", strings.Join(logLevels, ", "))
@@ -204,6 +216,7 @@
 	return s
 }
 
-func duration(f *jsonc.Field, most time.Duration) Duration {
-	return Duration(f.Duration(minDuration, most))
+// readDuration reads a duration of at least minDuration.
+func readDuration(f *jsonc.Field, maximum time.Duration) Duration {
+	return Duration(f.Duration(minDuration, maximum))
 }
--- a/internal/host/settings/settings_test.go
+++ b/internal/host/settings/settings_test.go
@@ -58,7 +58,7 @@
 	assert.Equal(t, s.Control().Replicas[1].Address, "127.0.0.2:7001")
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidFile(t *testing.T) {
 	tests := []struct {
 		name, file, old, replacement string
 		line                         int
@@ -70,28 +70,28 @@
 		{"missing service", nodeFile, `"service": "dates",`, ``, 6, "node.service"},
 		{"duration without unit", nodeFile, `"2s"`, `2`, 12, "node.freshness"},
 		{"duration text without unit", nodeFile, `"2s"`, `"2"`, 12, "node.freshness"},
-		{"freshness above the promise", nodeFile, `"2s"`, `"5s"`, 12, "node.freshness"},
+		{"freshness above the bound", nodeFile, `"2s"`, `"5s"`, 12, "node.freshness"},
 		{"host name", nodeFile, `"127.0.0.1:7003"`, `"localhost:7003"`, 8, "node.callers"},
 		{"host name of a control instance", nodeFile, `"127.0.0.2:7001"`, `"control:7001"`, 11, "node.controls[0]"},
 		{"no port", nodeFile, `"127.0.0.1:7003"`, `"127.0.0.1"`, 8, "node.callers"},
 		{"port 0", nodeFile, `"127.0.0.1:7003"`, `"127.0.0.1:0"`, 8, "node.callers"},
 		{"port clash", nodeFile, `"127.0.0.1:7003"`, `"127.0.0.1:7001"`, 8, "node.callers"},
 		{"port clash in another notation", nodeFile, `"127.0.0.1:7003"`, `"[::ffff:127.0.0.1]:7001"`, 8, "node.callers"},
-		{"callers beyond loopback without TLS", nodeFile, `"127.0.0.1:7003"`, `"10.0.0.1:7003"`, 8, "node.callers"},
-		{"all addresses without TLS", nodeFile, `"127.0.0.1:7003"`, `"0.0.0.0:7003"`, 8, "node.callers"},
-		{"metrics beyond loopback without TLS", nodeFile, `"127.0.0.1:7002"`, `"10.0.0.1:7002"`, 5, "metrics"},
-		{"control beyond loopback without TLS", nodeFile, `"127.0.0.2:7001"`, `"10.0.0.2:7001"`, 11, "node.controls[0]"},
-		{"backend listener beyond loopback", nodeFile, `"127.0.0.1:7005"`, `"10.0.0.1:7005"`, 10, "node.backend"},
-		{"peers can't reach", nodeFile, `"127.0.0.1:7004"`, `"0.0.0.0:7004"`, 9, "node.peers"},
+		{"callers on a non-loopback address without TLS", nodeFile, `"127.0.0.1:7003"`, `"10.0.0.1:7003"`, 8, "node.callers"},
+		{"unspecified address without TLS", nodeFile, `"127.0.0.1:7003"`, `"0.0.0.0:7003"`, 8, "node.callers"},
+		{"metrics on a non-loopback address without TLS", nodeFile, `"127.0.0.1:7002"`, `"10.0.0.1:7002"`, 5, "metrics"},
+		{"control on a non-loopback address without TLS", nodeFile, `"127.0.0.2:7001"`, `"10.0.0.2:7001"`, 11, "node.controls[0]"},
+		{"backend listener on a non-loopback address", nodeFile, `"127.0.0.1:7005"`, `"10.0.0.1:7005"`, 10, "node.backend"},
+		{"unspecified address for peers", nodeFile, `"127.0.0.1:7004"`, `"0.0.0.0:7004"`, 9, "node.peers"},
 		{"no control instance", nodeFile, `["127.0.0.2:7001"]`, `[]`, 11, "node.controls"},
-		{"control instance twice", nodeFile, `["127.0.0.2:7001"]`, `["127.0.0.2:7001", "127.0.0.2:7001"]`, 11, "node.controls[1]"},
-		{"log level", nodeFile, `"region": "north"`, `"region": "north", "logLevel": "loud"`, 3, "logLevel"},
+		{"duplicate control instance", nodeFile, `["127.0.0.2:7001"]`, `["127.0.0.2:7001", "127.0.0.2:7001"]`, 11, "node.controls[1]"},
+		{"unknown log level", nodeFile, `"region": "north"`, `"region": "north", "logLevel": "loud"`, 3, "logLevel"},
 		{"TLS without key", nodeFile, `"region": "north"`, `"region": "north", "tls": {"authority": "a", "certificate": "c"}`, 3, "tls.key"},
 		{"neither node nor control", nodeFile, nodeFile[strings.Index(nodeFile, `"node"`):], `}`, 1, ""},
-		{"instance not in the list", controlFile, `{"instance": "control-1", "address"`, `{"instance": "control-3", "address"`, 8, "control.replicas"},
-		{"other address in the list", controlFile, `"address": "127.0.0.1:7001"`, `"address": "127.0.0.3:7001"`, 9, "control.replicas[0].address"},
-		{"replica name twice", controlFile, `"control-2"`, `"control-1"`, 10, "control.replicas[1].instance"},
-		{"replica address twice", controlFile, `"127.0.0.2:7001"`, `"127.0.0.1:7001"`, 10, "control.replicas[1].address"},
+		{"instance missing from the list", controlFile, `{"instance": "control-1", "address"`, `{"instance": "control-3", "address"`, 8, "control.replicas"},
+		{"different address in the list", controlFile, `"address": "127.0.0.1:7001"`, `"address": "127.0.0.3:7001"`, 9, "control.replicas[0].address"},
+		{"duplicate replica name", controlFile, `"control-2"`, `"control-1"`, 10, "control.replicas[1].instance"},
+		{"duplicate replica address", controlFile, `"127.0.0.2:7001"`, `"127.0.0.1:7001"`, 10, "control.replicas[1].address"},
 		{"no data folder", controlFile, `"data"`, `""`, 5, "control.dataFolder"},
 		{"name with a slash", controlFile, `"region": "north"`, `"region": "no/rth"`, 2, "region"},
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestTLSLetsAddressesBeyondLoopbackBe(t *testing.T) {
+func TestTLSAllowsNonLoopbackAddresses(t *testing.T) {
 	text := strings.Replace(nodeFile, `"node":`, `"tls": {"authority": "a", "certificate": "c", "key": "k"}, "node":`, 1)
 	text = strings.ReplaceAll(text, `"127.0.0.1:7003"`, `"0.0.0.0:7003"`)
 	s, err := Parse("node", []byte(text))
@@ -117,7 +117,7 @@
 	assert.Equal(t, s.TLS().Key, "k")
 }
 
-func TestReadLooksForTheFiles(t *testing.T) {
+func TestReadChecksReferencedFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "control.jsonc")
 	assert.NilError(t, os.WriteFile(file, []byte(controlFile), 0o600))
 	_, err := Read(file)
