--- a/internal/host/logs/log.go
+++ b/internal/host/logs/log.go
@@ -10,10 +10,10 @@
 	"github.com/figpier/figpier"
 )
 
-// Error is the class of failures to set up the log.
+// Error is the class of errors from setting up the log.
 var Error = errs.Class("logs")
 
-// Names of the fields of a log line.
+// Names of the fields of a log line; FieldLeftOut is the number of lines that were dropped before this one.
 const (
 	FieldInstance  = "instance"
 	FieldRequestID = "requestId"
@@ -27,17 +27,17 @@
 	FieldMillis    = "millis"
 )
 
-// Config builds a log.
+// Config configures New.
 type Config struct {
 	// Output receives one JSON object per line.
 	Output io.Writer
-	// Level is the least level that is written, "info" when empty.
+	// Level is the lowest level that is written: "error", "warn", "info" or "debug", and "info" if empty.
 	Level string
-	// Instance is the name of the process on every line.
+	// Instance is the name of the process, which every line has in FieldInstance.
 	Instance figpier.InstanceID
 }
 
-// New returns the log of a process.
+// New returns the logger of a process, or an Error if the level is unknown.
 func New(c Config) (*logrus.Entry, error) {
 	level, err := ParseLevel(c.Level)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return l.WithField(FieldInstance, string(c.Instance)), nil
 }
 
-// ParseLevel returns the level of a name, which is "info" when empty.
+// ParseLevel returns the level with a name, "info" if the name is empty, or an Error if it is unknown.
 func ParseLevel(name string) (logrus.Level, error) {
 	if name == "" {
 		return logrus.InfoLevel, nil
--- a/internal/host/logs/log_test.go
+++ b/internal/host/logs/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/figpier/figpier/internal/kernel/registry"
 )
 
-// fakeClock tells a time that the test sets.
+// fakeClock returns a time that the test sets.
 type fakeClock struct {
 	now time.Time
 }
@@ -21,8 +21,8 @@
 
 func (c *fakeClock) AfterFunc(time.Duration, func()) (cancel func()) { return func() {} }
 
-// requests returns a log of requests at a level, its output and its clock.
-func requests(t *testing.T, level string) (*Requests, *bytes.Buffer, *fakeClock) {
+// newTestRequests returns a request log at a level, with its output and its clock.
+func newTestRequests(t *testing.T, level string) (*Requests, *bytes.Buffer, *fakeClock) {
 	t.Helper()
 	out, clock := &bytes.Buffer{}, &fakeClock{now: time.Unix(1, 0)}
 	l, err := New(Config{Output: out, Level: level, Instance: "node-a"})
@@ -32,16 +32,16 @@
 	return q, out, clock
 }
 
-func lines(t *testing.T, out *bytes.Buffer) []map[string]any {
+func decodeLines(t *testing.T, out *bytes.Buffer) []map[string]any {
 	t.Helper()
-	var all []map[string]any
+	var decoded []map[string]any
 	for l := range bytes.Lines(out.Bytes()) {
 		line := map[string]any{}
 		assert.NilError(t, json.Unmarshal(l, &line))
 		delete(line, "time")
-		all = append(all, line)
+		decoded = append(decoded, line)
 	}
-	return all
+	return decoded
 }
 
 func sampleCall() *figpier.Call {
@@ -49,12 +49,12 @@
 }
 
 func TestRefusedWritesOneObjectPerLine(t *testing.T) {
-	q, out, _ := requests(t, "")
+	q, out, _ := newTestRequests(t, "")
 	q.Refused(sampleCall(), figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalOverRate, Detail: "a\nb"}))
 	q.Refused(nil, figpier.Refuse(figpier.RefusalKeyMissing))
 	q.Retried(sampleCall(), figpier.RetryUnreached)
 	q.Retried(sampleCall(), figpier.NoRetryDone)
-	assert.DeepEqual(t, lines(t, out), []map[string]any{
+	assert.DeepEqual(t, decodeLines(t, out), []map[string]any{
 		{
 			"level": "info", "msg": "refused: the customer is over its rate and burst (a\nb)", "instance": "node-a",
 			"requestId": "r1", "customer": "valv", "service": "booking", "reason": "over-rate", "notRun": true,
@@ -70,77 +70,77 @@
 	})
 }
 
-func TestSurgeOfRefusalsIsLeftOutAndCounted(t *testing.T) {
-	q, out, clock := requests(t, "info")
-	for range linesPerWindow + 30 {
+func TestExcessRefusalsAreDroppedAndCounted(t *testing.T) {
+	q, out, clock := newTestRequests(t, "info")
+	for range maxLinesPerWindow + 30 {
 		q.Refused(sampleCall(), figpier.Refuse(figpier.RefusalOverload))
 	}
 	q.Refused(sampleCall(), figpier.Refuse(figpier.RefusalCutOff))
-	assert.Equal(t, len(lines(t, out)), linesPerWindow+1)
-	clock.now = clock.now.Add(window)
+	assert.Equal(t, len(decodeLines(t, out)), maxLinesPerWindow+1)
+	clock.now = clock.now.Add(windowLength)
 	out.Reset()
 	q.Refused(sampleCall(), figpier.Refuse(figpier.RefusalOverload))
-	assert.Equal(t, lines(t, out)[0][FieldLeftOut], 30.0)
+	assert.Equal(t, decodeLines(t, out)[0][FieldLeftOut], 30.0)
 }
 
-func TestDebugLeavesNothingOut(t *testing.T) {
-	q, out, _ := requests(t, "debug")
-	for range 2 * linesPerWindow {
+func TestDebugDropsNothing(t *testing.T) {
+	q, out, _ := newTestRequests(t, "debug")
+	for range 2 * maxLinesPerWindow {
 		q.Refused(sampleCall(), figpier.Refuse(figpier.RefusalOverload))
 	}
-	assert.Equal(t, len(lines(t, out)), 2*linesPerWindow)
+	assert.Equal(t, len(decodeLines(t, out)), 2*maxLinesPerWindow)
 }
 
-func TestWarnLeavesRequestsOut(t *testing.T) {
-	q, out, _ := requests(t, "warn")
+func TestWarnLevelOmitsRequests(t *testing.T) {
+	q, out, _ := newTestRequests(t, "warn")
 	q.Refused(sampleCall(), figpier.Refuse(figpier.RefusalOverload))
-	_, err := Standard(q.entry).Write([]byte("http: TLS handshake error\n"))
+	_, err := NewStandardWriter(q.entry).Write([]byte("http: TLS handshake error\n"))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, lines(t, out), []map[string]any{
+	assert.DeepEqual(t, decodeLines(t, out), []map[string]any{
 		{"level": "warning", "msg": "http: TLS handshake error", "instance": "node-a"},
 	})
 }
 
-func TestNewRefusesUnknownLevel(t *testing.T) {
+func TestNewRejectsUnknownLevel(t *testing.T) {
 	_, err := New(Config{Output: &bytes.Buffer{}, Level: "loud"})
 	assert.Assert(t, Error.Has(err))
 }
 
-// stuck is a reader that never reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(line []byte) (int, error) {
+func (s blockedWriter) Write(line []byte) (int, error) {
 	<-s.release
 	return len(line), nil
 }
 
-func TestReaderThatNeverReadsHoldsNothingUp(t *testing.T) {
-	reader := stuck{release: make(chan struct{})}
-	defer close(reader.release)
-	queue := NewQueue(reader)
+func TestBlockedOutputDoesNotBlockQueue(t *testing.T) {
+	output := blockedWriter{release: make(chan struct{})}
+	defer close(output.release)
+	queue := NewQueue(output)
 	l, err := New(Config{Output: queue, Instance: "node-a"})
 	assert.NilError(t, err)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * queuedLines {
+		for range 3 * maxQueuedLines {
 			l.Info("line")
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("writing waits for the reader")
+		t.Fatal("writing to the queue blocks on its output")
 	}
-	assert.Assert(t, queue.LeftOut() >= queuedLines)
+	assert.Assert(t, queue.Dropped() >= maxQueuedLines)
 }
 
-func TestRoutedTellsTheMemberAndTheEnd(t *testing.T) {
-	q, out, _ := requests(t, "")
+func TestRoutedLogsMemberAndOutcome(t *testing.T) {
+	q, out, _ := newTestRequests(t, "")
 	m := figpier.NewMember(figpier.MemberConfig{Instance: "node-b"})
 	q.Routed(sampleCall(), m, 500, figpier.NewOutcome(figpier.OutcomeDone, 1500*time.Millisecond))
 	q.Routed(sampleCall(), m, 0, figpier.NewOutcome(figpier.OutcomeUnreached, time.Millisecond))
-	all := lines(t, out)
+	all := decodeLines(t, out)
 	assert.Equal(t, len(all), 2)
 	assert.Equal(t, all[0][FieldMember], "node-b")
 	assert.Equal(t, all[0][FieldStatus], 500.0)
--- a/internal/host/logs/queue.go
+++ b/internal/host/logs/queue.go
@@ -8,74 +8,77 @@
 	"time"
 )
 
-// queuedLines is the number of lines that wait for a slow reader; at some hundred bytes each they take little memory.
-const queuedLines = 4096
+// maxQueuedLines is the capacity of a queue. At a few hundred bytes a line, a full queue takes little memory.
+const maxQueuedLines = 4096
 
-// flushTime bounds the writing of the last lines at the end of a process.
-const flushTime = 200 * time.Millisecond
+// flushTimeout is how long End waits for the output.
+const flushTimeout = 200 * time.Millisecond
 
-// Queue is a writer that never waits: lines that its reader is too slow for are left out, counted, and told later.
+// Queue is a writer that never blocks, for use by any goroutine. If the output can't keep up, it drops lines, counts them, and
+// writes the count before the next line that it writes.
 type Queue struct {
 	output  io.Writer
-	lines   chan queued
-	leftOut atomic.Int64
+	entries chan queueEntry
+	dropped atomic.Int64
 }
 
-// queued is a line, or a wish to be told when all lines before it are written.
-type queued struct {
-	line    []byte
-	written chan struct{}
+// queueEntry is a line, or a flush marker if flushed is set.
+type queueEntry struct {
+	line []byte
+	// flushed is closed when all lines before the marker have been written.
+	flushed chan struct{}
 }
 
-// NewQueue returns a queue in front of an output, which is written to until the process ends.
+// NewQueue returns a queue in front of an output, and starts the goroutine that writes to it until the process ends.
 func NewQueue(output io.Writer) *Queue {
-	q := &Queue{output: output, lines: make(chan queued, queuedLines)}
+	q := &Queue{output: output, entries: make(chan queueEntry, maxQueuedLines)}
 	go q.run()
 	return q
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer for one whole line, which it copies. It never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
-	case q.lines <- queued{line: append([]byte(nil), line...)}:
+	case q.entries <- queueEntry{line: append([]byte(nil), line...)}:
 	default:
-		q.leftOut.Add(1)
+		q.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// LeftOut returns the number of lines that were left out and are not told yet.
-func (q *Queue) LeftOut() int64 { return q.leftOut.Load() }
+// Dropped returns the number of lines that were dropped since the last such count was written.
+func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// End writes the lines so far, for as long as their reader may take at the end of a process.
+// End waits until the lines queued so far have been written, at most flushTimeout. It is called at the end of a process.
 func (q *Queue) End() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushTime)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
-	written := make(chan struct{})
+	flushed := make(chan struct{})
 	select {
-	case q.lines <- queued{written: written}:
+	case q.entries <- queueEntry{flushed: flushed}:
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-written:
+	case <-flushed:
 	case <-ctx.Done():
 	}
 }
 
+// run writes the queued lines to the output, in a goroutine of its own.
 func (q *Queue) run() {
-	for e := range q.lines {
-		if e.written != nil {
-			close(e.written)
+	for e := range q.entries {
+		if e.flushed != nil {
+			close(e.flushed)
 			continue
 		}
 		line := e.line
-		if n := q.leftOut.Swap(0); n > 0 {
-			line = append(fmt.Appendf(nil, "{\"level\":\"warning\",\"msg\":\"log lines were left out: the reader is slow\",%q:%d}\n", FieldLeftOut, n), line...)
+		if n := q.dropped.Swap(0); n > 0 {
+			line = append(fmt.Appendf(nil, "{\"level\":\"warning\",\"msg\":\"log lines were dropped: the output is too slow\",%q:%d}\n", FieldLeftOut, n), line...)
 		}
 		if _, err := q.output.Write(line); err != nil {
-			// Nobody is left to tell.
-			q.leftOut.Add(1)
+			// The error has nowhere else to go, so the line only counts as dropped.
+			q.dropped.Add(1)
 		}
 	}
 }
--- a/internal/host/logs/request.go
+++ b/internal/host/logs/request.go
@@ -12,26 +12,27 @@
 	"github.com/figpier/figpier"
 )
 
-// Bounds on the lines for one reason, so that a surge of refusals costs little to explain.
+// Bounds on the log lines for each reason, so that a burst of refusals costs little time.
 const (
-	linesPerWindow = 20
-	window         = time.Second
+	maxLinesPerWindow = 20
+	windowLength      = time.Second
 )
 
-// Requests implements figpier.RequestLog.
+// Requests implements figpier.RequestLog. At the level "info" it writes at most maxLinesPerWindow lines for each reason in each
+// window, at "debug" all lines, and above "info" none.
 type Requests struct {
 	entry *logrus.Entry
 	clock figpier.Clock
 
 	mu      sync.Mutex
-	windows map[string]*lineWindow
+	windows map[string]*lineWindow // by the event that allowLine is given, guarded by mu
 }
 
-// lineWindow counts the lines for one reason since it opened.
+// lineWindow counts the written and the dropped lines of one event since it opened.
 type lineWindow struct {
 	opened  time.Time
 	lines   int
-	leftOut int
+	dropped int
 }
 
 // NewRequests returns the log of requests of a process.
@@ -56,11 +57,11 @@
 	if !q.entry.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	leftOut, ok := q.admit("refused " + string(r.Reason()))
+	dropped, ok := q.allowLine("refused " + string(r.Reason()))
 	if !ok {
 		return
 	}
-	f := callFields(c, string(r.Reason()), leftOut)
+	f := callFields(c, string(r.Reason()), dropped)
 	f[FieldNotRun] = r.NotRun()
 	q.entry.WithFields(f).Info("refused: " + r.Error())
 }
@@ -70,11 +71,11 @@
 	if r == figpier.NoRetryDone || !q.entry.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	leftOut, ok := q.admit("retried " + string(r))
+	dropped, ok := q.allowLine("retried " + string(r))
 	if !ok {
 		return
 	}
-	q.entry.WithFields(callFields(c, string(r), leftOut)).Info("retry decided")
+	q.entry.WithFields(callFields(c, string(r), dropped)).Info("retry decided")
 }
 
 // Routed implements figpier.RequestLog.
@@ -82,46 +83,48 @@
 	if !q.entry.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	leftOut, ok := q.admit("routed " + strconv.Itoa(status))
+	dropped, ok := q.allowLine("routed " + strconv.Itoa(status))
 	if !ok {
 		return
 	}
-	f := callFields(c, o.Kind().String(), leftOut)
+	f := callFields(c, o.Kind().String(), dropped)
 	f[FieldMember] = string(m.Instance())
 	f[FieldStatus] = status
 	f[FieldMillis] = o.Elapsed().Milliseconds()
 	q.entry.WithFields(f).Info("an attempt ended")
 }
 
-// admit reports whether a line for a key may be written, and how many were left out before it.
-func (q *Requests) admit(key string) (leftOut int, ok bool) {
+// allowLine reports whether a line for an event may be written. The first line of a window gets the number of lines that were
+// dropped in the window before it; other lines get 0.
+func (q *Requests) allowLine(event string) (dropped int, ok bool) {
 	if q.entry.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return 0, true
 	}
 	now := q.clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	w, found := q.windows[key]
+	w, found := q.windows[event]
 	if !found {
 		w = &lineWindow{opened: now}
-		q.windows[key] = w
+		q.windows[event] = w
 	}
-	if now.Sub(w.opened) >= window {
-		leftOut = w.leftOut
+	if now.Sub(w.opened) >= windowLength {
+		dropped = w.dropped
 		*w = lineWindow{opened: now}
 	}
-	if w.lines == linesPerWindow {
-		w.leftOut++
+	if w.lines == maxLinesPerWindow {
+		w.dropped++
 		return 0, false
 	}
 	w.lines++
-	return leftOut, true
+	return dropped, true
 }
 
-func callFields(c *figpier.Call, reason string, leftOut int) logrus.Fields {
+// callFields returns the fields of a line about a call, which is nil for a request that was refused before it became one.
+func callFields(c *figpier.Call, reason string, dropped int) logrus.Fields {
 	f := logrus.Fields{FieldReason: reason}
-	if leftOut > 0 {
-		f[FieldLeftOut] = leftOut
+	if dropped > 0 {
+		f[FieldLeftOut] = dropped
 	}
 	if c != nil {
 		f[FieldRequestID] = string(c.RequestID())
@@ -131,15 +134,15 @@
 	return f
 }
 
-// Standard returns a writer for the standard library's log, which logs each line as a warning.
-func Standard(l *logrus.Entry) *StandardWriter { return &StandardWriter{entry: l} }
+// NewStandardWriter returns an output for the standard library's logger.
+func NewStandardWriter(l *logrus.Entry) *StandardWriter { return &StandardWriter{entry: l} }
 
-// StandardWriter implements io.Writer.
+// StandardWriter logs each line that is written to it as a warning.
 type StandardWriter struct {
 	entry *logrus.Entry
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer for one whole line. It never returns an error.
 func (w *StandardWriter) Write(line []byte) (int, error) {
 	w.entry.Warn(strings.TrimSpace(string(line)))
 	return len(line), nil
--- a/internal/host/process/log.go
+++ b/internal/host/process/log.go
@@ -22,6 +22,6 @@
 		return nil, err
 	}
 	log.SetFlags(0)
-	log.SetOutput(logs.Standard(l))
+	log.SetOutput(logs.NewStandardWriter(l))
 	return l, nil
 }
