--- a/internal/host/certificate/doc.go
+++ b/internal/host/certificate/doc.go
@@ -1,2 +1,2 @@
-// Package certificate loads the TLS configurations of a process from the files that its settings name.
+// Package certificate builds the TLS configurations of a process from the certificate and key files that its settings name.
 package certificate
--- a/internal/host/certificate/load.go
+++ b/internal/host/certificate/load.go
@@ -10,17 +10,17 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// Error is the class of failures to load certificates.
+// Error is the class of errors from loading certificates.
 var Error = errs.Class("tls")
 
-// Set is the TLS configurations of a process, all nil on plain loopback.
+// Set holds the TLS configurations of a process. All are nil if the process does not use TLS.
 type Set struct {
 	public     *tls.Config
 	peerServer *tls.Config
 	peerClient *tls.Config
 }
 
-// Load reads the files that the settings name; without settings the set is for plain loopback.
+// Load reads the files that the settings name. Without settings it returns a set without TLS.
 func Load(s *settings.TLSSettings) (*Set, error) {
 	if s == nil {
 		return &Set{}, nil
@@ -35,7 +35,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(data) {
-		return nil, Error.New("%s holds no certificate in PEM form", s.Authority)
+		return nil, Error.New("%s holds no certificate in PEM format", s.Authority)
 	}
 	certificates := []tls.Certificate{own}
 	return &Set{
@@ -57,11 +57,12 @@
 	}, nil
 }
 
-// Public returns the configuration of listeners for callers, operators and metrics collectors, which show no certificate.
+// Public returns the configuration of listeners for callers, operators and metrics collectors, which need no client certificate.
 func (s *Set) Public() *tls.Config { return s.public }
 
-// PeerServer returns the configuration of listeners for the system's own processes, which must show a certificate.
+// PeerServer returns the configuration of listeners for the system's own processes, which require a client certificate that the
+// authority signed.
 func (s *Set) PeerServer() *tls.Config { return s.peerServer }
 
-// PeerClient returns the configuration of connections to the system's own processes.
+// PeerClient returns the configuration of connections to the system's own processes, with a client certificate.
 func (s *Set) PeerClient() *tls.Config { return s.peerClient }
--- a/internal/host/certificate/load_test.go
+++ b/internal/host/certificate/load_test.go
@@ -19,7 +19,7 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// issuer signs certificates for loopback addresses.
+// issuer is a certificate authority that signs certificates for loopback addresses.
 type issuer struct {
 	t           *testing.T
 	key         *ecdsa.PrivateKey
@@ -61,8 +61,8 @@
 	return path
 }
 
-// settings returns the settings of a process whose certificate the issuer signed and that trusts an authority.
-func (i *issuer) settings(authority *issuer) *settings.TLSSettings {
+// newTLSSettings returns the settings of a process that has a certificate signed by the issuer and that trusts an authority.
+func (i *issuer) newTLSSettings(authority *issuer) *settings.TLSSettings {
 	i.t.Helper()
 	key := newKey(i.t)
 	template := &x509.Certificate{
@@ -83,8 +83,8 @@
 	}
 }
 
-// shake returns the error of a handshake, as the server sees it.
-func shake(t *testing.T, server, client *tls.Config) error {
+// handshake connects a client to a server and returns the server's error from the TLS handshake.
+func handshake(t *testing.T, server, client *tls.Config) error {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	assert.NilError(t, err)
@@ -102,33 +102,33 @@
 	return c.(*tls.Conn).Handshake()
 }
 
-func TestPeersMustShowACertificateOfTheAuthority(t *testing.T) {
+func TestPeersMustHaveATrustedCertificate(t *testing.T) {
 	ours, theirs := newIssuer(t, "ours.pem"), newIssuer(t, "theirs.pem")
-	node, err := Load(ours.settings(ours))
+	node, err := Load(ours.newTLSSettings(ours))
 	assert.NilError(t, err)
-	other, err := Load(ours.settings(ours))
+	other, err := Load(ours.newTLSSettings(ours))
 	assert.NilError(t, err)
-	stranger, err := Load(theirs.settings(ours))
+	untrusted, err := Load(theirs.newTLSSettings(ours))
 	assert.NilError(t, err)
 
-	assert.NilError(t, shake(t, node.PeerServer(), other.PeerClient()))
-	assert.Assert(t, shake(t, node.PeerServer(), stranger.PeerClient()) != nil)
-	bare := other.PeerClient().Clone()
-	bare.Certificates = nil
-	assert.Assert(t, shake(t, node.PeerServer(), bare) != nil)
-	assert.NilError(t, shake(t, node.Public(), bare))
-	assert.Assert(t, shake(t, stranger.PeerServer(), other.PeerClient()) != nil)
+	assert.NilError(t, handshake(t, node.PeerServer(), other.PeerClient()))
+	assert.Assert(t, handshake(t, node.PeerServer(), untrusted.PeerClient()) != nil)
+	withoutCertificate := other.PeerClient().Clone()
+	withoutCertificate.Certificates = nil
+	assert.Assert(t, handshake(t, node.PeerServer(), withoutCertificate) != nil)
+	assert.NilError(t, handshake(t, node.Public(), withoutCertificate))
+	assert.Assert(t, handshake(t, untrusted.PeerServer(), other.PeerClient()) != nil)
 }
 
-func TestLoadWithoutSettingsIsPlain(t *testing.T) {
+func TestLoadWithoutSettingsDisablesTLS(t *testing.T) {
 	s, err := Load(nil)
 	assert.NilError(t, err)
 	assert.Assert(t, s.Public() == nil && s.PeerServer() == nil && s.PeerClient() == nil)
 }
 
-func TestLoadNamesTheFaultyFile(t *testing.T) {
+func TestLoadErrorNamesTheInvalidFile(t *testing.T) {
 	i := newIssuer(t, "authority.pem")
-	s := i.settings(i)
+	s := i.newTLSSettings(i)
 	s.Authority = s.Key
 	_, err := Load(s)
 	assert.ErrorContains(t, err, s.Key+" holds no certificate")
--- a/internal/host/metrics/doc.go
+++ b/internal/host/metrics/doc.go
@@ -1,2 +1,2 @@
-// Package metrics counts what a process did and serves the counts to a metrics collector over HTTP.
+// Package metrics keeps the metrics of a process and serves them over HTTP in the Prometheus text format.
 package metrics
--- a/internal/host/metrics/documents_test.go
+++ b/internal/host/metrics/documents_test.go
@@ -17,8 +17,8 @@
 
 const refusalsPage = "../../../docs/REFUSALS.md"
 
-// tableOf returns the rows of the page whose first cell is code, up to the heading.
-func tableOf(t *testing.T, from, to string) string {
+// pageRows returns the table rows of docs/REFUSALS.md between two headings, of which the first cell is formatted as code.
+func pageRows(t *testing.T, from, to string) string {
 	t.Helper()
 	page, err := os.ReadFile(refusalsPage)
 	assert.NilError(t, err)
@@ -34,7 +34,7 @@
 	return rows.String()
 }
 
-func TestRefusalsPageIsTheTableOfTheCode(t *testing.T) {
+func TestRefusalsPageMatchesRefusalKinds(t *testing.T) {
 	want := &strings.Builder{}
 	for _, k := range figpier.RefusalKinds() {
 		notRun := "no"
@@ -43,12 +43,12 @@
 		}
 		fmt.Fprintf(want, "| `%s` | %d | %s | %s | `%s` |\n", k.Reason(), k.Status(), notRun, k.Text(), RefusalCounter(k.Reason()))
 	}
-	got := tableOf(t, "## Refusals", "## Retries")
+	got := pageRows(t, "## Refusals", "## Retries")
 	assert.Equal(t, got, want.String(), "the rows of docs/REFUSALS.md should be:\n%s", want)
 }
 
-func TestRetriesPageNamesEveryReason(t *testing.T) {
-	rows := tableOf(t, "## Retries", "\n## ")
+func TestRetriesPageListsEveryReason(t *testing.T) {
+	rows := pageRows(t, "## Retries", "\n## ")
 	for _, reason := range retryReasons(t) {
 		assert.Assert(t, strings.Contains(rows, "| `"+reason+"` |"), "docs/REFUSALS.md lacks the retry reason %s", reason)
 	}
--- a/internal/host/metrics/metrics_test.go
+++ b/internal/host/metrics/metrics_test.go
@@ -15,7 +15,7 @@
 
 var _ figpier.Counters = (*Server)(nil)
 
-func TestServerServesCounts(t *testing.T) {
+func TestServerServesMetrics(t *testing.T) {
 	s := New(Config{Address: "127.0.0.1:0"})
 	assert.NilError(t, s.Start(t.Context(), nil))
 	s.Refused(figpier.RefusalOverRate)
@@ -42,7 +42,7 @@
 	assert.NilError(t, s.Stop(context.Background()))
 }
 
-func TestServerWithoutAddressOnlyCounts(t *testing.T) {
+func TestServerWithoutAddressDoesNotListen(t *testing.T) {
 	s := New(Config{})
 	assert.NilError(t, s.Start(t.Context(), nil))
 	s.Refused(figpier.RefusalLeaving)
--- a/internal/host/metrics/server.go
+++ b/internal/host/metrics/server.go
@@ -13,25 +13,25 @@
 
 const metricsPath = "/metrics"
 
-// Config builds a Server.
+// Config configures a Server.
 type Config struct {
-	// Address is the IP address and port of the endpoint, empty for none.
+	// Address is the IP address and port to listen on, empty for no endpoint.
 	Address string
-	// TLS secures the endpoint, nil for plain loopback.
+	// TLS is the TLS configuration of the endpoint, nil for plain HTTP.
 	TLS *tls.Config
 }
 
-// Server keeps the counters of a process and serves them at /metrics.
+// Server implements figpier.Counters and serves the metrics at /metrics.
 type Server struct {
 	address  string
 	security *tls.Config
-	counts   *counts
+	counters *counters
 	listener *web.Server
 }
 
-// New returns a server with all refusal counters at zero.
+// New returns a server that has not started, with all refusal counters at zero.
 func New(c Config) *Server {
-	return &Server{address: c.Address, security: c.TLS, counts: newCounts()}
+	return &Server{address: c.Address, security: c.TLS, counters: newCounters()}
 }
 
 // Name implements figpier.Service.
@@ -58,7 +58,7 @@
 	return s.listener.Shutdown(ctx)
 }
 
-// Address returns the endpoint's IP address and port once the server has started, empty when it serves nothing.
+// Address returns the IP address and port that the server listens on, empty if it does not listen.
 func (s *Server) Address() string {
 	if s.listener == nil {
 		return ""
@@ -66,13 +66,13 @@
 	return s.listener.Address()
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler for the path /metrics, with the metrics of the Go runtime and the operating system process.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != metricsPath {
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	s.counts.set.WritePrometheus(w)
+	s.counters.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
--- a/internal/host/profile/doc.go
+++ b/internal/host/profile/doc.go
@@ -1,2 +1,2 @@
-// Package profile reads profile files in JSON with comments and writes profiles as JSON.
+// Package profile reads and checks profile files, which are JSON with comments, and writes profiles as JSON.
 package profile
--- a/internal/host/profile/profile_test.go
+++ b/internal/host/profile/profile_test.go
@@ -12,7 +12,7 @@
 )
 
 const sample = `{
-  // Holds go first.
+  // Holds have the highest priority.
   "name": "booking",
   "routes": [
     {"method": "POST", "path": "/holds", "priority": 0, "idempotent": false, "deadline": "2s"},
@@ -39,7 +39,7 @@
 	assert.Equal(t, p.Name(), figpier.ProfileName("booking"))
 }
 
-func TestWriteReadsBack(t *testing.T) {
+func TestWriteRoundTrip(t *testing.T) {
 	p, err := Parse("booking.json", []byte(sample))
 	assert.NilError(t, err)
 	first, err := Write(p)
@@ -51,7 +51,7 @@
 	assert.Equal(t, string(first), string(second))
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidFile(t *testing.T) {
 	const tail = `"defaultLimit": {"rate": "1/s", "burst": 1},
 "retry": {"treeBudget": 3, "share": 0.1, "callerInterval": "1s"}}`
 	route := func(fields string) string {
@@ -68,7 +68,7 @@
 		{"not an object", `[]`, 1, ""},
 		{"missing name", "{\"routes\": [],\n" + tail, 1, "name"},
 		{"unknown field", route(good + `"deadline": "1s", "dedline": "1s"`), 2, "routes[0].dedline"},
-		{"field twice", route(good + `"deadline": "1s", "deadline": "2s"`), 2, "routes[0].deadline"},
+		{"duplicate field", route(good + `"deadline": "1s", "deadline": "2s"`), 2, "routes[0].deadline"},
 		{"deadline without unit", route(good + `"deadline": 5`), 2, "routes[0].deadline"},
 		{"deadline text without unit", route(good + `"deadline": "5"`), 2, "routes[0].deadline"},
 		{"deadline too long", route(good + `"deadline": "2h"`), 2, "routes[0].deadline"},
@@ -76,14 +76,14 @@
 		{"priority with fraction", route(`"method": "GET", "path": "/a", "priority": 1.5, "idempotent": true, "deadline": "1s"`), 2, "routes[0].priority"},
 		{"method in lower case", route(`"method": "get", "path": "/a", "priority": 1, "idempotent": true, "deadline": "1s"`), 2, "routes[0].method"},
 		{"path without slash", route(`"method": "GET", "path": "a", "priority": 1, "idempotent": true, "deadline": "1s"`), 2, "routes[0].path"},
-		{"star inside path", route(`"method": "GET", "path": "/a*b/*", "priority": 1, "idempotent": true, "deadline": "1s"`), 2, "routes[0].path"},
+		{"wildcard inside path", route(`"method": "GET", "path": "/a*b/*", "priority": 1, "idempotent": true, "deadline": "1s"`), 2, "routes[0].path"},
 		{"idempotent missing", route(`"method": "GET", "path": "/a", "priority": 1, "deadline": "1s"`), 2, "routes[0].idempotent"},
 		{"rate without unit", "{\"name\": \"p\", \"routes\": [],\n\"limits\": {\"c\": {\"rate\": 5, \"burst\": 1}},\n" + tail, 2, "limits.c.rate"},
 		{"rate in another unit", "{\"name\": \"p\", \"routes\": [],\n\"limits\": {\"c\": {\"rate\": \"5/h\", \"burst\": 1}},\n" + tail, 2, "limits.c.rate"},
 		{"rate as text without unit", "{\"name\": \"p\", \"routes\": [],\n\"limits\": {\"c\": {\"rate\": \"5\", \"burst\": 1}},\n" + tail, 2, "limits.c.rate"},
 		{"negative burst", "{\"name\": \"p\", \"routes\": [],\n\"limits\": {\"c\": {\"rate\": \"5/s\", \"burst\": -1}},\n" + tail, 2, "limits.c.burst"},
 		{"zero weight", "{\"name\": \"p\", \"routes\": [],\n\"weights\": {\"c\": 0},\n" + tail, 2, "weights.c"},
-		{"no customer", "{\"name\": \"p\", \"routes\": [],\n\"weights\": {\"\": 1},\n" + tail, 2, "weights."},
+		{"empty customer name", "{\"name\": \"p\", \"routes\": [],\n\"weights\": {\"\": 1},\n" + tail, 2, "weights."},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/host/profile/read.go
+++ b/internal/host/profile/read.go
@@ -13,32 +13,35 @@
 	"github.com/figpier/figpier/internal/host/jsonc"
 )
 
-// Error is the class of failures to read or write a profile file.
+// Error is the class of errors from reading or writing a profile file.
 var Error = errs.Class("profile")
 
-// Bounds of a profile's fields.
+// Bounds and patterns of the fields of a profile.
 const (
-	MaxSize         = 1 << 20 // bytes
-	maxNameLength   = 64      // bytes
-	maxPathLength   = 1024    // bytes
-	minDeadline     = time.Millisecond
-	maxDeadline     = time.Hour
-	maxRate         = 1e9 // requests per second
-	maxBurst        = 1e9 // requests
-	minWeight       = 0.001
-	maxWeight       = 1000
-	maxTreeBudget   = 100
-	maxShare        = 10
-	maxCallerPause  = time.Hour
-	anyMethod       = "*"
-	wildcardEnding  = "/*"
-	anotherWildcard = "*"
-	nameCharacters  = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+	// MaxSize is the size up to which a profile is accepted from standard input and by the operator API. Read and Parse don't
+	// check it.
+	MaxSize           = 1 << 20 // bytes
+	maxNameLength     = 64      // bytes
+	maxPathLength     = 1024    // bytes
+	minDeadline       = time.Millisecond
+	maxDeadline       = time.Hour
+	maxRate           = 1e9 // requests per second
+	maxBurst          = 1e9 // requests
+	minWeight         = 0.001
+	maxWeight         = 1000
+	maxTreeBudget     = 100
+	maxShare          = 10
+	maxCallerInterval = time.Hour
+	anyMethod         = "*"
+	wildcardSuffix    = "/*"
+	wildcard          = "*"
+	nameCharacters    = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 )
 
 var methods = []string{anyMethod, "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
-// Read reads and checks a profile file, or returns an Error or a *jsonc.ProblemsError.
+// Read reads and checks a profile file. It returns an Error if the file can't be read, and a *jsonc.ProblemsError if its content
+// is invalid.
 func Read(path string) (*figpier.Profile, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +50,8 @@
 	return Parse(path, data)
 }
 
-// Parse checks the text of a profile file, or returns a *jsonc.ProblemsError; the name stands for the file.
+// Parse checks the text of a profile file. Problems show name as the name of the file. It returns a *jsonc.ProblemsError if the
+// text is invalid.
 func Parse(name string, data []byte) (*figpier.Profile, error) {
 	d, err := jsonc.Parse(name, data)
 	if err != nil {
@@ -81,7 +85,7 @@
 	return c
 }
 
-// CheckName reports whether a name may stand for a profile, a service or a customer, and what is wrong with it.
+// CheckName reports whether a name is valid for a profile, a service, a customer or an instance, and if not, why.
 func CheckName(name string) (detail string, ok bool) {
 	switch {
 	case name == "":
@@ -89,9 +93,9 @@
 	case len(name) > maxNameLength:
 		return fmt.Sprintf("the name is longer than %d bytes", maxNameLength), false
 	case strings.HasPrefix(name, "."):
-		return "a name does not begin with a full stop", false
+		return "a name must not begin with a full stop", false
 	case strings.Trim(name, nameCharacters) != "":
-		return "a name has only letters, digits, hyphens, underscores and full stops", false
+		return "a name may contain only letters, digits, hyphens, underscores and full stops", false
 	}
 	return "", true
 }
@@ -106,7 +110,7 @@
 
 func readCustomer(name string, f *jsonc.Field) figpier.CustomerID {
 	if detail, ok := CheckName(name); !ok {
-		f.Failf("the customer: %s", detail)
+		f.Failf("invalid customer name: %s", detail)
 	}
 	return figpier.CustomerID(name)
 }
@@ -135,15 +139,15 @@
 
 func readPath(f *jsonc.Field) string {
 	s := f.Name(maxPathLength)
-	stem := strings.TrimSuffix(s, wildcardEnding)
+	prefix := strings.TrimSuffix(s, wildcardSuffix)
 	switch {
 	case !f.IsSet():
 	case !strings.HasPrefix(s, "/"):
-		f.Failf("a path begins with /")
-	case strings.Contains(stem, anotherWildcard):
-		f.Failf("a * stands only at the end, after a /")
+		f.Failf("a path must begin with /")
+	case strings.Contains(prefix, wildcard):
+		f.Failf("a * is allowed only at the end, after a /")
 	case strings.ContainsAny(s, "?#"):
-		f.Failf("a path has no query or fragment")
+		f.Failf("a path must not contain a query or a fragment")
 	}
 	return s
 }
@@ -169,7 +173,7 @@
 	c := figpier.RetryConfig{
 		TreeBudget:     int(o.Required("treeBudget").Integer(0, maxTreeBudget)),
 		Share:          o.Required("share").Number(0, maxShare),
-		CallerInterval: o.Required("callerInterval").Duration(0, maxCallerPause),
+		CallerInterval: o.Required("callerInterval").Duration(0, maxCallerInterval),
 	}
 	o.RejectUnknown()
 	return figpier.NewRetryPolicy(c)
--- a/internal/host/profile/write.go
+++ b/internal/host/profile/write.go
@@ -7,16 +7,17 @@
 	"github.com/figpier/figpier"
 )
 
-type fileSettings struct {
-	Name         string                   `json:"name"`
-	Routes       []routeSettings          `json:"routes"`
-	DefaultLimit limitSettings            `json:"defaultLimit"`
-	Limits       map[string]limitSettings `json:"limits,omitempty"`
-	Weights      map[string]float64       `json:"weights,omitempty"`
-	Retry        retrySettings            `json:"retry"`
+// profileJSON is the form of a profile in a file.
+type profileJSON struct {
+	Name         string               `json:"name"`
+	Routes       []routeJSON          `json:"routes"`
+	DefaultLimit limitJSON            `json:"defaultLimit"`
+	Limits       map[string]limitJSON `json:"limits,omitempty"`
+	Weights      map[string]float64   `json:"weights,omitempty"`
+	Retry        retryJSON            `json:"retry"`
 }
 
-type routeSettings struct {
+type routeJSON struct {
 	Method     string `json:"method"`
 	Path       string `json:"path"`
 	Priority   int    `json:"priority"`
@@ -25,36 +26,36 @@
 	Deadline   string `json:"deadline"`
 }
 
-type limitSettings struct {
+type limitJSON struct {
 	Rate  string  `json:"rate"`
 	Burst float64 `json:"burst"`
 }
 
-type retrySettings struct {
+type retryJSON struct {
 	TreeBudget     int     `json:"treeBudget"`
 	Share          float64 `json:"share"`
 	CallerInterval string  `json:"callerInterval"`
 }
 
-// Write returns the indented JSON text of a profile, which Parse reads back without its revision.
+// Write returns a profile as indented JSON, which Parse accepts. The revision of the profile is not part of it.
 func Write(p *figpier.Profile) ([]byte, error) {
-	s := fileSettings{
+	s := profileJSON{
 		Name:         string(p.Name()),
-		Routes:       []routeSettings{},
-		DefaultLimit: writeLimit(p.DefaultLimit()),
-		Limits:       map[string]limitSettings{},
+		Routes:       []routeJSON{},
+		DefaultLimit: encodeLimit(p.DefaultLimit()),
+		Limits:       map[string]limitJSON{},
 		Weights:      map[string]float64{},
-		Retry: retrySettings{
+		Retry: retryJSON{
 			TreeBudget:     p.Retry().TreeBudget(),
 			Share:          p.Retry().Share(),
 			CallerInterval: p.Retry().CallerInterval().String(),
 		},
 	}
 	for _, r := range p.Routes() {
-		s.Routes = append(s.Routes, writeRoute(r))
+		s.Routes = append(s.Routes, encodeRoute(r))
 	}
 	for c, l := range p.Limits() {
-		s.Limits[string(c)] = writeLimit(l)
+		s.Limits[string(c)] = encodeLimit(l)
 	}
 	for c, w := range p.Weights() {
 		s.Weights[string(c)] = w
@@ -66,8 +67,8 @@
 	return append(data, '\n'), nil
 }
 
-func writeRoute(r *figpier.Route) routeSettings {
-	return routeSettings{
+func encodeRoute(r *figpier.Route) routeJSON {
+	return routeJSON{
 		Method:     r.Method(),
 		Path:       r.Path(),
 		Priority:   int(r.Priority()),
@@ -77,8 +78,8 @@
 	}
 }
 
-func writeLimit(l figpier.Limit) limitSettings {
-	return limitSettings{
+func encodeLimit(l figpier.Limit) limitJSON {
+	return limitJSON{
 		Rate:  strconv.FormatFloat(l.Rate(), 'g', -1, 64) + "/s",
 		Burst: l.Burst(),
 	}
--- a/internal/host/seeds/doc.go
+++ b/internal/host/seeds/doc.go
@@ -1,2 +1,2 @@
-// Package seeds tells where control instances may be found, as the settings file says now.
+// Package seeds provides the addresses of control instances and reloads them when the settings file changes.
 package seeds
--- a/internal/host/seeds/seeds.go
+++ b/internal/host/seeds/seeds.go
@@ -14,48 +14,49 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// Config builds a Source.
+// Config configures a Source.
 type Config struct {
-	// Path is the settings file.
+	// Path is the path of the settings file.
 	Path string
-	// Seeds are the message addresses that the file named at the start.
+	// Seeds are the message addresses that the file named when the process started.
 	Seeds []string
-	// Read returns the message addresses that a settings file names.
+	// Read returns the seeds in the settings.
 	Read func(s *settings.Settings) []string
-	// Log takes a line for each reload.
+	// Log gets a line for each reload.
 	Log *logrus.Entry
 }
 
-// Source implements figpier.SeedSource.
+// Source implements figpier.SeedSource. It reloads the settings file on SIGHUP, and in Seeds if the file's modification time
+// changed.
 type Source struct {
 	config Config
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	seeds    []string
-	modified time.Time
+	modified time.Time // modification time of the file at the last reload
 }
 
-// New returns a source with the seeds of the start.
+// New returns a source with the seeds in the config. It does not read the file.
 func New(c Config) *Source {
 	s := &Source{config: c, seeds: c.Seeds}
-	s.modified = s.stamp()
+	s.modified = s.modificationTime()
 	return s
 }
 
 // Name implements figpier.Service.
 func (s *Source) Name() figpier.ServiceName { return figpier.SeedService }
 
-// Start implements figpier.Service.
+// Start implements figpier.Service. The goroutine that waits for signals ends with ctx.
 func (s *Source) Start(ctx context.Context, _ figpier.Directory) error {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
-		defer signal.Stop(hangUps)
+		defer signal.Stop(hangups)
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangUps:
+			case <-hangups:
 				s.reload("signal")
 			}
 		}
@@ -66,10 +67,10 @@
 // Stop implements figpier.Service.
 func (s *Source) Stop(context.Context) error { return nil }
 
-// Seeds implements figpier.SeedSource; the file is read again when it has changed.
+// Seeds implements figpier.SeedSource. It reloads the file first if the file has changed.
 func (s *Source) Seeds() []string {
 	s.mu.Lock()
-	changed := !s.stamp().Equal(s.modified)
+	changed := !s.modificationTime().Equal(s.modified)
 	s.mu.Unlock()
 	if changed {
 		s.reload("the file has changed")
@@ -79,8 +80,8 @@
 	return s.seeds
 }
 
-// stamp returns when the file was last changed, zero where that can't be told.
-func (s *Source) stamp() time.Time {
+// modificationTime returns the modification time of the file, zero if it can't be determined.
+func (s *Source) modificationTime() time.Time {
 	info, err := os.Stat(s.config.Path)
 	if err != nil {
 		return time.Time{}
@@ -88,17 +89,17 @@
 	return info.ModTime()
 }
 
-// reload reads the file, and keeps the seeds that are known where it can't be read.
+// reload reads the seeds from the file. If the file can't be read or is invalid, it keeps the current seeds.
 func (s *Source) reload(cause string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.modified = s.stamp()
-	line := s.config.Log.WithField("cause", cause)
-	read, err := settings.Read(s.config.Path)
+	s.modified = s.modificationTime()
+	log := s.config.Log.WithField("cause", cause)
+	loaded, err := settings.Read(s.config.Path)
 	if err != nil {
-		line.WithError(err).Warn("the settings can't be read again: the known seeds stay in force")
+		log.WithError(err).Warn("cannot reload the settings: keeping the current seeds")
 		return
 	}
-	s.seeds = s.config.Read(read)
-	line.WithField("seeds", s.seeds).Info("read the seeds again")
+	s.seeds = s.config.Read(loaded)
+	log.WithField("seeds", s.seeds).Info("reloaded the seeds")
 }
