--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -115,7 +115,7 @@
 			Member:  meshMemberConfig(s, instance),
 			Log:     l,
 		}),
-		platform.NewUpstream(platform.UpstreamConfig{Address: m.Announcements, Service: service, Log: l}),
+		platform.NewUpstreamAdapter(platform.UpstreamAdapterConfig{Address: m.Announcements, Service: service, Log: l}),
 		delivery.New(delivery.Config{Address: m.Peers, Service: service}),
 		forward.New(forward.Config{
 			Instance:    instance,
@@ -123,8 +123,8 @@
 			RetryWindow: m.Retries.Window,
 			FreeRetries: freeRetriesPerNode,
 		}),
-		platform.NewReadiness(platform.ReadinessConfig{Address: m.Readiness}),
-		platform.NewCallers(platform.CallersConfig{Address: m.Callers}),
+		platform.NewReadinessProbe(platform.ReadinessProbeConfig{Address: m.Readiness}),
+		platform.NewCallerListener(platform.CallerListenerConfig{Address: m.Callers}),
 		stopping.New(stopping.Config{Serve: scaleDuration(m.Grace, servingFraction), Log: l}),
 	)
 }
@@ -198,6 +198,6 @@
 			Slack:   c.Quota.Slack,
 			Log:     l,
 		}),
-		platform.NewOperator(platform.OperatorConfig{Address: c.Tables, Log: l}),
+		platform.NewOperatorAPI(platform.OperatorAPIConfig{Address: c.Tables, Log: l}),
 	)
 }
--- a/internal/host/profile/write.go
+++ b/internal/host/profile/write.go
@@ -7,17 +7,17 @@
 	"github.com/figpier/figpier"
 )
 
-// profileJSON is the form of a profile in a file.
-type profileJSON struct {
-	Name         string               `json:"name"`
-	Routes       []routeJSON          `json:"routes"`
-	DefaultLimit limitJSON            `json:"defaultLimit"`
-	Limits       map[string]limitJSON `json:"limits,omitempty"`
-	Weights      map[string]float64   `json:"weights,omitempty"`
-	Retry        retryJSON            `json:"retry"`
+// profileSettings is the form of a profile in a file.
+type profileSettings struct {
+	Name         string                   `json:"name"`
+	Routes       []routeSettings          `json:"routes"`
+	DefaultLimit limitSettings            `json:"defaultLimit"`
+	Limits       map[string]limitSettings `json:"limits,omitempty"`
+	Weights      map[string]float64       `json:"weights,omitempty"`
+	Retry        retrySettings            `json:"retry"`
 }
 
-type routeJSON struct {
+type routeSettings struct {
 	Method     string `json:"method"`
 	Path       string `json:"path"`
 	Priority   int    `json:"priority"`
@@ -26,12 +26,12 @@
 	Deadline   string `json:"deadline"`
 }
 
-type limitJSON struct {
+type limitSettings struct {
 	Rate  string  `json:"rate"`
 	Burst float64 `json:"burst"`
 }
 
-type retryJSON struct {
+type retrySettings struct {
 	TreeBudget     int     `json:"treeBudget"`
 	Share          float64 `json:"share"`
 	CallerInterval string  `json:"callerInterval"`
@@ -39,13 +39,13 @@
 
 // Write returns a profile as indented JSON, which Parse accepts. The revision of the profile is not part of it.
 func Write(p *figpier.Profile) ([]byte, error) {
-	s := profileJSON{
+	s := profileSettings{
 		Name:         string(p.Name()),
-		Routes:       []routeJSON{},
+		Routes:       []routeSettings{},
 		DefaultLimit: encodeLimit(p.DefaultLimit()),
-		Limits:       map[string]limitJSON{},
+		Limits:       map[string]limitSettings{},
 		Weights:      map[string]float64{},
-		Retry: retryJSON{
+		Retry: retrySettings{
 			TreeBudget:     p.Retry().TreeBudget(),
 			Share:          p.Retry().Share(),
 			CallerInterval: p.Retry().CallerInterval().String(),
@@ -67,8 +67,8 @@
 	return append(data, '\n'), nil
 }
 
-func encodeRoute(r *figpier.Route) routeJSON {
-	return routeJSON{
+func encodeRoute(r *figpier.Route) routeSettings {
+	return routeSettings{
 		Method:     r.Method(),
 		Path:       r.Path(),
 		Priority:   int(r.Priority()),
@@ -78,8 +78,8 @@
 	}
 }
 
-func encodeLimit(l figpier.Limit) limitJSON {
-	return limitJSON{
+func encodeLimit(l figpier.Limit) limitSettings {
+	return limitSettings{
 		Rate:  strconv.FormatFloat(l.Rate(), 'g', -1, 64) + "/s",
 		Burst: l.Burst(),
 	}
