--- a/internal/host/jsonc/object.go
+++ b/internal/host/jsonc/object.go
@@ -17,6 +17,7 @@
 	accessed map[string]bool
 }
 
+// newObject returns an empty object at the location of a field.
 func newObject(f *Field) *Object {
 	return &Object{
 		document: f.document,
@@ -27,6 +28,7 @@
 	}
 }
 
+// addMembers adds the members of a parsed object, and reports duplicates, of which the first is kept.
 func (o *Object) addMembers(v *hujson.Object) {
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -81,6 +83,7 @@
 	}
 }
 
+// memberName returns the name of a member, empty if it is not a literal.
 func memberName(m *hujson.ObjectMember) string {
 	l, ok := m.Name.Value.(hujson.Literal)
 	if !ok {
--- a/internal/host/jsonc/problem.go
+++ b/internal/host/jsonc/problem.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Problem is one error in a file and where it stands.
+// Problem is one error in a file with its location.
 type Problem struct {
 	file   string
 	line   int
--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -82,6 +82,7 @@
 	)
 }
 
+// replicaPeers returns the control instances in the settings as members of the replicated log.
 func replicaPeers(list []settings.ReplicaSettings) []replica.PeerConfig {
 	var all []replica.PeerConfig
 	for _, r := range list {
@@ -93,6 +94,7 @@
 	return all
 }
 
+// newControlPlace returns where the control instance runs and accepts messages.
 func newControlPlace(s *settings.Settings) figpier.ControlPlace {
 	return figpier.NewControlPlace(figpier.ControlPlaceConfig{
 		Address:    s.Messages(),
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -51,7 +51,8 @@
 	// intervals, as announcements can be seconds late.
 	backendTimeout = 15 * time.Second
 	// meshPollWait is how long a control instance holds a poll that has no news. A node detects an unresponsive control
-	// instance after meshPollWait plus meshAskTimeout, and a configuration must be in force two seconds after its acceptance.
+	// instance after meshPollWait plus meshAskTimeout. This has to leave time to put a configuration in force within two seconds
+	// of its acceptance.
 	meshPollWait = 600 * time.Millisecond
 	// meshAskTimeout is how long a node waits for the answer to a poll beyond meshPollWait: many round trips between regions.
 	meshAskTimeout = 400 * time.Millisecond
@@ -67,8 +68,8 @@
 	// meshMaxQuorumAge is the time since its last proof of a quorum after which a control instance counts as behind: several
 	// heartbeats of the leader.
 	meshMaxQuorumAge = time.Second
-	// usedRetryFraction is the fraction of the allowed retries that a node makes, as a retry also repeats the calls further down the
-	// call tree.
+	// usedRetryFraction is the fraction of the allowed retries that a node makes, as a retry also repeats the calls further down
+	// the call tree.
 	usedRetryFraction = 0.5
 	// freeRetriesPerNode is the number of retries to a service that a node may make in a window regardless of its traffic. It is
 	// small because all nodes share the slack.
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -52,7 +52,8 @@
 	defaultPeerPingAfter = 10 * time.Second
 	// defaultLeaveNotice is how long a node goes on serving after it announced that it leaves.
 	defaultLeaveNotice = 2 * time.Second
-	// defaultGrace is how long a planned stop waits for requests in flight.
+	// defaultGrace is how long a planned stop of a node waits for requests in flight, and how long one of a control instance may
+	// take.
 	defaultGrace = 30 * time.Second
 )
 
@@ -129,6 +130,7 @@
 	}
 }
 
+// shardsConfig returns the configuration of the service that hosts shards on a node.
 func shardsConfig(s *settings.Settings) shards.Config {
 	return shards.Config{
 		Instance:   figpier.InstanceID(s.Instance()),
--- a/internal/host/process/shards.go
+++ b/internal/host/process/shards.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// Timing and replication parameters of shards, rate-limit tokens and claims.
 const (
 	// controlLease is how long a node may act for its shards without renewing its control lease.
 	controlLease = 2 * time.Second
--- a/internal/host/profile/read.go
+++ b/internal/host/profile/read.go
@@ -108,6 +108,7 @@
 	return s
 }
 
+// readCustomer returns the customer that a field is named after, and reports an invalid name with the field.
 func readCustomer(name string, f *jsonc.Field) figpier.CustomerID {
 	if detail, ok := CheckName(name); !ok {
 		f.Failf("invalid customer name: %s", detail)
@@ -137,6 +138,7 @@
 	return s
 }
 
+// readPath reads the path of a route, which may end in a wildcard.
 func readPath(f *jsonc.Field) string {
 	s := f.Name(maxPathLength)
 	prefix := strings.TrimSuffix(s, wildcardSuffix)
@@ -152,6 +154,7 @@
 	return s
 }
 
+// readLimit reads a rate limit. It returns the zero limit if the field is missing, which Required has already reported.
 func readLimit(f *jsonc.Field) figpier.Limit {
 	o := f.Object()
 	if !f.IsSet() {
@@ -165,6 +168,7 @@
 	return figpier.NewLimit(c)
 }
 
+// readRetry reads the retry policy. It returns the zero policy if the field is missing, which Required has already reported.
 func readRetry(f *jsonc.Field) figpier.RetryPolicy {
 	o := f.Object()
 	if !f.IsSet() {
