--- a/internal/host/profile/read.go
+++ b/internal/host/profile/read.go
@@ -13,32 +13,35 @@
 	"github.com/figpier/figpier/internal/host/jsonc"
 )
 
-// Error is the class of failures to read or write a profile file.
+// Error is the class of errors from reading or writing a profile file.
 var Error = errs.Class("profile")
 
-// Bounds of a profile's fields.
+// Bounds and patterns of the fields of a profile.
 const (
-	MaxSize         = 1 << 20 // bytes
-	maxNameLength   = 64      // bytes
-	maxPathLength   = 1024    // bytes
-	minDeadline     = time.Millisecond
-	maxDeadline     = time.Hour
-	maxRate         = 1e9 // requests per second
-	maxBurst        = 1e9 // requests
-	minWeight       = 0.001
-	maxWeight       = 1000
-	maxTreeBudget   = 100
-	maxShare        = 10
-	maxCallerPause  = time.Hour
-	anyMethod       = "*"
-	wildcardEnding  = "/*"
-	anotherWildcard = "*"
-	nameCharacters  = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+	// MaxSize is the size up to which a profile is accepted from standard input and by the operator API. Read and Parse don't
+	// check it.
+	MaxSize           = 1 << 20 // bytes
+	maxNameLength     = 64      // bytes
+	maxPathLength     = 1024    // bytes
+	minDeadline       = time.Millisecond
+	maxDeadline       = time.Hour
+	maxRate           = 1e9 // requests per second
+	maxBurst          = 1e9 // requests
+	minWeight         = 0.001
+	maxWeight         = 1000
+	maxTreeBudget     = 100
+	maxShare          = 10
+	maxCallerInterval = time.Hour
+	anyMethod         = "*"
+	wildcardSuffix    = "/*"
+	wildcard          = "*"
+	nameCharacters    = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 )
 
 var methods = []string{anyMethod, "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 
-// Read reads and checks a profile file, or returns an Error or a *jsonc.ProblemsError.
+// Read reads and checks a profile file. It returns an Error if the file can't be read, and a *jsonc.ProblemsError if its content
+// is invalid.
 func Read(path string) (*figpier.Profile, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +50,8 @@
 	return Parse(path, data)
 }
 
-// Parse checks the text of a profile file, or returns a *jsonc.ProblemsError; the name stands for the file.
+// Parse checks the text of a profile file. Problems show name as the name of the file. It returns a *jsonc.ProblemsError if the
+// text is invalid.
 func Parse(name string, data []byte) (*figpier.Profile, error) {
 	d, err := jsonc.Parse(name, data)
 	if err != nil {
@@ -66,22 +70,22 @@
 		Limits:  map[figpier.CustomerID]figpier.Limit{},
 		Weights: map[figpier.CustomerID]float64{},
 	}
-	o.Required("routes").List(func(f *jsonc.Field) {
+	o.Required("routes").EachElement(func(f *jsonc.Field) {
 		c.Routes = append(c.Routes, readRoute(f.Object()))
 	})
 	c.DefaultLimit = readLimit(o.Required("defaultLimit"))
-	o.Optional("limits").Object().Each(func(name string, f *jsonc.Field) {
+	o.Optional("limits").Object().EachField(func(name string, f *jsonc.Field) {
 		c.Limits[readCustomer(name, f)] = readLimit(f)
 	})
-	o.Optional("weights").Object().Each(func(name string, f *jsonc.Field) {
+	o.Optional("weights").Object().EachField(func(name string, f *jsonc.Field) {
 		c.Weights[readCustomer(name, f)] = f.Number(minWeight, maxWeight)
 	})
 	c.Retry = readRetry(o.Required("retry"))
-	o.Close()
+	o.RejectUnknown()
 	return c
 }
 
-// CheckName reports whether a name may stand for a profile, a service or a customer, and what is wrong with it.
+// CheckName reports whether a name is valid for a profile, a service, a customer or an instance, and if not, why.
 func CheckName(name string) (detail string, ok bool) {
 	switch {
 	case name == "":
@@ -89,24 +93,25 @@
 	case len(name) > maxNameLength:
 		return fmt.Sprintf("the name is longer than %d bytes", maxNameLength), false
 	case strings.HasPrefix(name, "."):
-		return "a name does not begin with a full stop", false
+		return "a name must not begin with a full stop", false
 	case strings.Trim(name, nameCharacters) != "":
-		return "a name has only letters, digits, hyphens, underscores and full stops", false
+		return "a name may contain only letters, digits, hyphens, underscores and full stops", false
 	}
 	return "", true
 }
 
 func readName(f *jsonc.Field) string {
 	s := f.Text()
-	if detail, ok := CheckName(s); f.Set() && !ok {
-		f.Fail("%s", detail)
+	if detail, ok := CheckName(s); f.IsSet() && !ok {
+		f.Failf("%s", detail)
 	}
 	return s
 }
 
+// readCustomer returns the customer that a field is named after, and reports an invalid name with the field.
 func readCustomer(name string, f *jsonc.Field) figpier.CustomerID {
 	if detail, ok := CheckName(name); !ok {
-		f.Fail("the customer: %s", detail)
+		f.Failf("invalid customer name: %s", detail)
 	}
 	return figpier.CustomerID(name)
 }
@@ -117,60 +122,63 @@
 		Path:   readPath(o.Required("path")),
 		Priority: figpier.PriorityClass(o.Required("priority").
 			Integer(int64(figpier.HighestPriority), int64(figpier.LowestPriority))),
-		Idempotent: o.Required("idempotent").Flag(),
-		Open:       o.Optional("open").Flag(),
+		Idempotent: o.Required("idempotent").Bool(),
+		Open:       o.Optional("open").Bool(),
 		Deadline:   o.Required("deadline").Duration(minDeadline, maxDeadline),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewRoute(c)
 }
 
 func readMethod(f *jsonc.Field) string {
 	s := f.Text()
-	if f.Set() && !slices.Contains(methods, s) {
-		f.Fail("want one of %s", strings.Join(methods, ", "))
+	if f.IsSet() && !slices.Contains(methods, s) {
+		f.Failf("want one of %s", strings.Join(methods, ", "))
 	}
 	return s
 }
 
+// readPath reads the path of a route, which may end in a wildcard.
 func readPath(f *jsonc.Field) string {
 	s := f.Name(maxPathLength)
-	stem := strings.TrimSuffix(s, wildcardEnding)
+	prefix := strings.TrimSuffix(s, wildcardSuffix)
 	switch {
-	case !f.Set():
+	case !f.IsSet():
 	case !strings.HasPrefix(s, "/"):
-		f.Fail("a path begins with /")
-	case strings.Contains(stem, anotherWildcard):
-		f.Fail("a * stands only at the end, after a /")
+		f.Failf("a path must begin with /")
+	case strings.Contains(prefix, wildcard):
+		f.Failf("a * is allowed only at the end, after a /")
 	case strings.ContainsAny(s, "?#"):
-		f.Fail("a path has no query or fragment")
+		f.Failf("a path must not contain a query or a fragment")
 	}
 	return s
 }
 
+// readLimit reads a rate limit. It returns the zero limit if the field is missing, which Required has already reported.
 func readLimit(f *jsonc.Field) figpier.Limit {
 	o := f.Object()
-	if !f.Set() {
+	if !f.IsSet() {
 		return figpier.Limit{}
 	}
 	c := figpier.LimitConfig{
 		Rate:  o.Required("rate").Rate(0, maxRate),
 		Burst: o.Required("burst").Number(0, maxBurst),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewLimit(c)
 }
 
+// readRetry reads the retry policy. It returns the zero policy if the field is missing, which Required has already reported.
 func readRetry(f *jsonc.Field) figpier.RetryPolicy {
 	o := f.Object()
-	if !f.Set() {
+	if !f.IsSet() {
 		return figpier.RetryPolicy{}
 	}
 	c := figpier.RetryConfig{
 		TreeBudget:     int(o.Required("treeBudget").Integer(0, maxTreeBudget)),
 		Share:          o.Required("share").Number(0, maxShare),
-		CallerInterval: o.Required("callerInterval").Duration(0, maxCallerPause),
+		CallerInterval: o.Required("callerInterval").Duration(0, maxCallerInterval),
 	}
-	o.Close()
+	o.RejectUnknown()
 	return figpier.NewRetryPolicy(c)
 }
--- a/internal/host/profile/write.go
+++ b/internal/host/profile/write.go
@@ -7,7 +7,8 @@
 	"github.com/figpier/figpier"
 )
 
-type fileSettings struct {
+// profileSettings is the form of a profile in a file.
+type profileSettings struct {
 	Name         string                   `json:"name"`
 	Routes       []routeSettings          `json:"routes"`
 	DefaultLimit limitSettings            `json:"defaultLimit"`
@@ -36,12 +37,12 @@
 	CallerInterval string  `json:"callerInterval"`
 }
 
-// Write returns the indented JSON text of a profile, which Parse reads back without its revision.
+// Write returns a profile as indented JSON, which Parse accepts. The revision of the profile is not part of it.
 func Write(p *figpier.Profile) ([]byte, error) {
-	s := fileSettings{
+	s := profileSettings{
 		Name:         string(p.Name()),
 		Routes:       []routeSettings{},
-		DefaultLimit: writeLimit(p.DefaultLimit()),
+		DefaultLimit: encodeLimit(p.DefaultLimit()),
 		Limits:       map[string]limitSettings{},
 		Weights:      map[string]float64{},
 		Retry: retrySettings{
@@ -51,10 +52,10 @@
 		},
 	}
 	for _, r := range p.Routes() {
-		s.Routes = append(s.Routes, writeRoute(r))
+		s.Routes = append(s.Routes, encodeRoute(r))
 	}
 	for c, l := range p.Limits() {
-		s.Limits[string(c)] = writeLimit(l)
+		s.Limits[string(c)] = encodeLimit(l)
 	}
 	for c, w := range p.Weights() {
 		s.Weights[string(c)] = w
@@ -66,7 +67,7 @@
 	return append(data, '\n'), nil
 }
 
-func writeRoute(r *figpier.Route) routeSettings {
+func encodeRoute(r *figpier.Route) routeSettings {
 	return routeSettings{
 		Method:     r.Method(),
 		Path:       r.Path(),
@@ -77,7 +78,7 @@
 	}
 }
 
-func writeLimit(l figpier.Limit) limitSettings {
+func encodeLimit(l figpier.Limit) limitSettings {
 	return limitSettings{
 		Rate:  strconv.FormatFloat(l.Rate(), 'g', -1, 64) + "/s",
 		Burst: l.Burst(),
