--- a/test/path/bench_test.go
+++ b/test/path/bench_test.go
@@ -11,8 +11,9 @@
 	"github.com/figpier/figpier"
 )
 
-func okay(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
+func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
+// benchmarkCalls measures GET requests to a URL, one after the other, with bodies read to the end.
 func benchmarkCalls(b *testing.B, url string) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer c.CloseIdleConnections()
@@ -31,27 +32,27 @@
 	}
 }
 
-// BenchmarkDirectCall is a call to a backend server without a node, to subtract from BenchmarkOneHop.
+// BenchmarkDirectCall measures a call to a backend server without a node. Its result is the baseline for BenchmarkOneHop.
 func BenchmarkDirectCall(b *testing.B) {
-	s := httptest.NewServer(http.HandlerFunc(okay))
+	s := httptest.NewServer(http.HandlerFunc(answerOK))
 	defer s.Close()
 	benchmarkCalls(b, s.URL+"/x")
 }
 
-// BenchmarkOneHop is a call through one node.
+// BenchmarkOneHop measures a call through one node.
 func BenchmarkOneHop(b *testing.B) {
-	n := newNode(b, newView(0, "a"), "a").serve(okay)
+	n := newNode(b, newView(0, "a"), "a").serve(answerOK)
 	benchmarkCalls(b, "http://"+n.caller.ListenAddress()+"/x")
 }
 
-// BenchmarkWholePath is a call through two nodes and two backend servers.
+// BenchmarkWholePath measures a call through two nodes, with a backend server behind each.
 func BenchmarkWholePath(b *testing.B) {
 	v := newView(0, "a", "b")
 	a := newNode(b, v, "a")
-	newNode(b, v, "b").serve(okay)
-	exits := a.exits()
+	newNode(b, v, "b").serve(answerOK)
+	exitClient := a.exitClient()
 	a.serve(func(w http.ResponseWriter, r *http.Request) {
-		answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier/x", nil)
+		answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier/x", nil)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
--- a/test/path/silent_test.go
+++ b/test/path/connection_loss_test.go
@@ -13,8 +13,8 @@
 	"github.com/figpier/figpier/test/relay"
 )
 
-// behindRelay starts a node whose peers reach it through a relay.
-func behindRelay(t *testing.T, v *view, service figpier.UpstreamService) (*node, *relay.Relay) {
+// newNodeBehindRelay starts a node whose peers reach it through a relay, which can drop or reset the connections.
+func newNodeBehindRelay(t *testing.T, v *fakeView, service figpier.UpstreamService) (*node, *relay.Relay) {
 	t.Helper()
 	n := newNode(t, v, service)
 	link, err := relay.Listen(t.Context(), n.peer.ListenAddress())
@@ -31,11 +31,11 @@
 func TestSilentPeerConnectionIsReplaced(t *testing.T) {
 	v := newView(8, "a", "b")
 	a := newNode(t, v, "a")
-	b, link := behindRelay(t, v, "b")
+	b, link := newNodeBehindRelay(t, v, "b")
 	b.serve(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "b") })
-	exits := a.exits()
+	exitClient := a.exitClient()
 	a.serve(func(w http.ResponseWriter, r *http.Request) {
-		answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier/quick/x", nil)
+		answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier/quick/x", nil)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -43,36 +43,36 @@
 		w.WriteHeader(answer.StatusCode)
 		_, _ = io.Copy(w, answer.Body)
 	})
-	c := client(t, false)
+	c := newClient(t, false)
 	assert.Equal(t, mustSend(t, c, a.request(http.MethodGet, "/x", nil)).text, "b")
 	link.Lose()
 	began := time.Now()
 	first := mustSend(t, c, a.request(http.MethodGet, "/x", nil))
-	assert.Check(t, time.Since(began) < quickDeadline, "answered within its deadline")
-	assert.Check(t, !first.notRun(), "the request may have run")
+	assert.Check(t, time.Since(began) < quickRouteDeadline, "the answer came after the route's deadline")
+	assert.Check(t, !first.notRun(), "a request that may have run must not be marked \"not run\"")
 	eventually(t, "the connection is replaced", func() bool {
 		return mustSend(t, c, a.request(http.MethodGet, "/x", nil)).text == "b"
 	})
 	assert.Equal(t, link.Accepted(), int64(2))
 }
 
-func TestRequestOnASilentPeerConnectionIsServedElsewhere(t *testing.T) {
+func TestRequestOnASilentPeerConnectionIsRetriedOnAnotherNode(t *testing.T) {
 	v := newView(8, "a", "b")
 	a := newNode(t, v, "a")
-	echo := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "b") }
-	b, link := behindRelay(t, v, "b")
-	b.serve(echo)
-	newNode(t, v, "b").serve(echo)
-	exits := a.exits()
+	answerB := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "b") }
+	b, link := newNodeBehindRelay(t, v, "b")
+	b.serve(answerB)
+	newNode(t, v, "b").serve(answerB)
+	exitClient := a.exitClient()
 	a.serve(func(w http.ResponseWriter, r *http.Request) {
-		answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier/quick/x", nil)
+		answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier/quick/x", nil)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		defer answer.Body.Close()
 		_, _ = io.Copy(w, answer.Body)
 	})
-	c := client(t, false)
+	c := newClient(t, false)
 	for range 2 {
 		assert.Equal(t, mustSend(t, c, a.request(http.MethodGet, "/x", nil)).text, "b")
 		link.Lose()
@@ -92,31 +92,31 @@
 	link, err := relay.Listen(t.Context(), server)
 	assert.NilError(t, err)
 	n.announce(link.Address())
-	c := client(t, false)
-	warm := make(chan *reply, connections)
+	c := newClient(t, false)
+	warmUpReplies := make(chan *reply, connections)
 	for range connections {
-		go func() { warm <- mustSend(t, c, n.request(http.MethodGet, "/short/x", nil)) }()
+		go func() { warmUpReplies <- mustSend(t, c, n.request(http.MethodGet, "/short/x", nil)) }()
 	}
 	for range connections {
-		assert.Equal(t, (<-warm).text, "whole")
+		assert.Equal(t, (<-warmUpReplies).text, "whole")
 	}
 	link.Lose()
-	lost := 0
+	timedOut := 0
 	for range connections {
 		p := mustSend(t, c, n.request(http.MethodGet, "/short/x", nil))
 		if p.text != "whole" {
 			assert.Equal(t, p.status, http.StatusGatewayTimeout)
-			lost++
+			timedOut++
 		}
 	}
-	assert.Equal(t, lost, 1, "one request finds the silence of all connections")
+	assert.Equal(t, timedOut, 1, "the first timeout must replace all connections to the backend server")
 }
 
 func TestRequestOnABrokenPeerConnectionIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		v := newView(8, "a", "b")
 		a := newNode(t, v, "a")
-		b, link := behindRelay(t, v, "b")
+		b, link := newNodeBehindRelay(t, v, "b")
 		var runs atomic.Int64
 		b.serve(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -125,16 +125,16 @@
 				<-r.Context().Done()
 			}
 		})
-		exits := a.exits()
+		exitClient := a.exitClient()
 		a.serve(func(w http.ResponseWriter, r *http.Request) {
-			answer, err := a.exitCall(exits, r, method, "http://b.figpier/once/x", nil)
+			answer, err := a.exitCall(exitClient, r, method, "http://b.figpier/once/x", nil)
 			if err != nil {
 				panic(http.ErrAbortHandler)
 			}
 			defer answer.Body.Close()
 			w.WriteHeader(answer.StatusCode)
 		})
-		c := client(t, false)
+		c := newClient(t, false)
 		assert.Equal(t, mustSend(t, c, a.request(http.MethodGet, "/x", nil)).status, http.StatusOK)
 		p := mustSend(t, c, a.request(http.MethodGet, "/x", nil))
 		assert.Equal(t, p.status, http.StatusBadGateway)
--- a/test/path/view_test.go
+++ b/test/path/fakes_test.go
@@ -11,24 +11,27 @@
 	"github.com/figpier/figpier"
 )
 
-// quickDeadline bounds requests that must survive a silent connection.
-const quickDeadline = 4 * time.Second
+// quickRouteDeadline is the deadline of the route for requests that must be answered although a connection has gone
+// silent. It is long enough for the node to notice that and to retry.
+const quickRouteDeadline = 4 * time.Second
 
+// callerKey is the only key in the configuration of a fakeView. It belongs to the customer "acme".
 const callerKey = "test-caller-key"
 
-// view implements figpier.ConfigurationView with what a test sets.
-type view struct {
+// fakeView implements figpier.ConfigurationView with the members and the configuration that a test sets.
+type fakeView struct {
 	configuration atomic.Pointer[figpier.Configuration]
 	stale         atomic.Bool
 
-	mu          sync.Mutex
-	members     []*figpier.Member
-	subscribers []func(*figpier.Configuration)
-	whenStale   []func()
+	mu             sync.Mutex
+	members        []*figpier.Member
+	subscribers    []func(*figpier.Configuration)
+	staleCallbacks []func()
 }
 
-// profileOf returns a profile with routes for idempotent, run-once, open and short-lived requests.
-func profileOf(budget int) *figpier.Profile {
+// newProfile returns a profile with a route for each kind of request: /once/ is not idempotent, /open/ needs no key,
+// /quick/ and /short/ have short deadlines. The budget is the number of retries of a whole call tree.
+func newProfile(budget int) *figpier.Profile {
 	route := func(method, path string, idempotent, open bool, deadline time.Duration) *figpier.Route {
 		return figpier.NewRoute(figpier.RouteConfig{Method: method, Path: path, Idempotent: idempotent, Open: open, Deadline: deadline})
 	}
@@ -37,7 +40,7 @@
 		Routes: []*figpier.Route{
 			route("*", "/once/*", false, false, time.Minute),
 			route("*", "/open/*", true, true, time.Minute),
-			route("*", "/quick/*", true, false, quickDeadline),
+			route("*", "/quick/*", true, false, quickRouteDeadline),
 			route("*", "/short/*", true, false, 500*time.Millisecond),
 			route("*", "/*", true, false, time.Minute),
 		},
@@ -46,12 +49,13 @@
 	})
 }
 
-func newView(budget int, services ...figpier.UpstreamService) *view {
-	v := &view{}
+// newView returns a view whose services all have the profile of newProfile.
+func newView(budget int, services ...figpier.UpstreamService) *fakeView {
+	v := &fakeView{}
 	digest := figpier.KeyDigest(sha256.Sum256([]byte(callerKey)))
 	c := figpier.ConfigurationConfig{
 		Revision:    1,
-		Profiles:    map[figpier.ProfileName]*figpier.Profile{"p": profileOf(budget)},
+		Profiles:    map[figpier.ProfileName]*figpier.Profile{"p": newProfile(budget)},
 		Assignments: map[figpier.UpstreamService]*figpier.Assignment{},
 		Keys: map[figpier.KeyDigest]*figpier.Key{
 			digest: figpier.NewKey(figpier.KeyConfig{ID: "k", Customer: "acme", Digest: digest}),
@@ -64,27 +68,27 @@
 	return v
 }
 
-func (v *view) Name() figpier.ServiceName { return figpier.ConfigurationService }
+func (v *fakeView) Name() figpier.ServiceName { return figpier.ConfigurationService }
 
-func (v *view) Start(context.Context, figpier.Directory) error { return nil }
+func (v *fakeView) Start(context.Context, figpier.Directory) error { return nil }
 
-func (v *view) Stop(context.Context) error { return nil }
+func (v *fakeView) Stop(context.Context) error { return nil }
 
-func (v *view) Configuration() *figpier.Configuration { return v.configuration.Load() }
+func (v *fakeView) Configuration() *figpier.Configuration { return v.configuration.Load() }
 
-func (v *view) Fresh(time.Time) bool { return !v.stale.Load() }
+func (v *fakeView) Fresh(time.Time) bool { return !v.stale.Load() }
 
-func (v *view) Announce(*figpier.Member) {}
+func (v *fakeView) Announce(*figpier.Member) {}
 
-func (v *view) Follow(context.Context, figpier.UpstreamService) error { return nil }
+func (v *fakeView) Follow(context.Context, figpier.UpstreamService) error { return nil }
 
-func (v *view) Nodes() int { return 0 }
+func (v *fakeView) Nodes() int { return 0 }
 
-func (v *view) Polled() time.Time { return time.Time{} }
+func (v *fakeView) Polled() time.Time { return time.Time{} }
 
-func (v *view) Control() string { return "" }
+func (v *fakeView) Control() string { return "" }
 
-func (v *view) Members(s figpier.UpstreamService) []*figpier.Member {
+func (v *fakeView) Members(s figpier.UpstreamService) []*figpier.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var found []*figpier.Member
@@ -96,40 +100,41 @@
 	return found
 }
 
-func (v *view) Subscribe(f func(*figpier.Configuration)) {
+func (v *fakeView) Subscribe(f func(*figpier.Configuration)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.subscribers = append(v.subscribers, f)
 }
 
-func (v *view) WhenStale(f func()) {
+func (v *fakeView) WhenStale(f func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.whenStale = append(v.whenStale, f)
+	v.staleCallbacks = append(v.staleCallbacks, f)
 }
 
-// outdate makes the view too old for keys.
-func (v *view) outdate() {
+// makeStale makes the view too old to check keys by, and runs the callbacks for that.
+func (v *fakeView) makeStale() {
 	v.stale.Store(true)
 	v.mu.Lock()
-	ends := slices.Clone(v.whenStale)
+	callbacks := slices.Clone(v.staleCallbacks)
 	v.mu.Unlock()
-	for _, end := range ends {
-		end()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-func (v *view) add(m *figpier.Member) {
+// addMember adds a node to the members of its service. Subscribers are not told.
+func (v *fakeView) addMember(m *figpier.Member) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.members = append(v.members, m)
 }
 
-// withdraw takes all keys away.
-func (v *view) withdraw() {
-	next := v.Configuration().Clone()
-	clear(next.Keys)
-	c := figpier.NewConfiguration(next)
+// withdrawAllKeys publishes a configuration without keys.
+func (v *fakeView) withdrawAllKeys() {
+	edited := v.Configuration().Clone()
+	clear(edited.Keys)
+	c := figpier.NewConfiguration(edited)
 	v.configuration.Store(c)
 	v.mu.Lock()
 	subscribers := slices.Clone(v.subscribers)
@@ -139,9 +144,9 @@
 	}
 }
 
-// orderedRouter implements figpier.Router by the order of the members.
+// orderedRouter implements figpier.Router. It picks the first member, in the order of addMember, that has not been tried.
 type orderedRouter struct {
-	view *view
+	view *fakeView
 
 	mu       sync.Mutex
 	outcomes []figpier.OutcomeKind
@@ -172,7 +177,8 @@
 	r.outcomes = append(r.outcomes, o.Kind())
 }
 
-func (r *orderedRouter) ended() []figpier.OutcomeKind {
+// endedOutcomes returns the outcomes of the attempts that have ended, in that order.
+func (r *orderedRouter) endedOutcomes() []figpier.OutcomeKind {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.outcomes)
--- a/test/path/rig_test.go
+++ b/test/path/harness_test.go
@@ -34,9 +34,10 @@
 	"github.com/figpier/figpier/internal/traffic/runner"
 )
 
+// loopback is a listen address on which the system chooses the port.
 const loopback = "127.0.0.1:0"
 
-// node is a node of a test, without a control instance.
+// node is a node under test. It has no control instance: a fakeView supplies its configuration and members.
 type node struct {
 	t       testing.TB
 	service figpier.UpstreamService
@@ -45,23 +46,23 @@
 	caller  *caller.Listener
 	peer    *peer.Listener
 	backend *backend.Server
-	slots   int
+	slots   int // capacity that announce states for the backend server
 }
 
-// started closes a channel when all services before it have started.
-type started chan struct{}
+// startSignal is a service that closes its channel when it starts. Registered last, it reports that all others have started.
+type startSignal chan struct{}
 
-func (s started) Name() figpier.ServiceName { return "test.started" }
+func (s startSignal) Name() figpier.ServiceName { return "test.started" }
 
-func (s started) Start(context.Context, figpier.Directory) error {
+func (s startSignal) Start(context.Context, figpier.Directory) error {
 	close(s)
 	return nil
 }
 
-func (s started) Stop(context.Context) error { return nil }
+func (s startSignal) Stop(context.Context) error { return nil }
 
-// newNode starts a node for a service and makes it a member.
-func newNode(t testing.TB, v *view, service figpier.UpstreamService) *node {
+// newNode starts a node for a service, adds it to the members of the view, and stops it when the test ends.
+func newNode(t testing.TB, v *fakeView, service figpier.UpstreamService) *node {
 	t.Helper()
 	exits := exit.New(exit.Config{PingAfter: time.Second})
 	n := &node{
@@ -74,21 +75,21 @@
 		backend: backend.New(backend.Config{Address: loopback, Announcement: time.Hour, Notice: 50 * time.Millisecond}, exits),
 		slots:   16,
 	}
-	log, err := logs.New(logs.Config{Output: io.Discard})
+	logger, err := logs.New(logs.Config{Output: io.Discard})
 	assert.NilError(t, err)
 	k := registry.New(registry.Config{Clock: system.Clock{}})
-	ready := make(started)
+	ready := make(startSignal)
 	for _, s := range []figpier.Service{
-		metrics.New(metrics.Config{}), logs.NewRequests(log), v,
+		metrics.New(metrics.Config{}), logs.NewRequests(logger), v,
 		n.handles, ranks.New(), cutoffs.New(), fixed.NewLimiter(), fixed.NewClaims(), fixed.NewAdmission(16), n.router, fixed.NewJudge(),
 		gate.New(gate.Config{Service: service}), runner.New(), exits, n.backend, n.peer, n.caller, ready,
 	} {
 		assert.NilError(t, k.Register(s))
 	}
-	stop, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- k.Run(stop, func() (context.Context, context.CancelFunc) {
+		ended <- k.Run(ctx, func() (context.Context, context.CancelFunc) {
 			return context.WithTimeout(context.Background(), time.Second)
 		})
 	}()
@@ -101,7 +102,7 @@
 		cancel()
 		<-ended
 	})
-	v.add(figpier.NewMember(figpier.MemberConfig{
+	v.addMember(figpier.NewMember(figpier.MemberConfig{
 		Instance:    figpier.InstanceID(n.peer.ListenAddress()),
 		Service:     service,
 		PeerAddress: n.peer.ListenAddress(),
@@ -109,7 +110,7 @@
 	return n
 }
 
-// serve announces a backend server that answers by a handler.
+// serve starts a backend server with the handler and announces it to the node.
 func (n *node) serve(h http.HandlerFunc) *node {
 	n.t.Helper()
 	s := httptest.NewServer(h)
@@ -120,6 +121,7 @@
 	return n.announce(s.Listener.Addr().String())
 }
 
+// announce announces a backend server at an address and waits until the node knows it.
 func (n *node) announce(address string) *node {
 	n.t.Helper()
 	body := fmt.Sprintf(`{"address": %q, "slots": %d}`, address, n.slots)
@@ -133,26 +135,27 @@
 	return n
 }
 
-// exits returns a client for the exit calls of the node's backend server.
-func (n *node) exits() *http.Client {
+// exitClient returns a client with which the node's backend server makes exit calls: the node is its HTTP proxy.
+func (n *node) exitClient() *http.Client {
 	proxy := &url.URL{Scheme: "http", Host: n.backend.ListenAddress()}
 	t := &http.Transport{Proxy: http.ProxyURL(proxy)}
 	n.t.Cleanup(t.CloseIdleConnections)
 	return &http.Client{Transport: t}
 }
 
-// exitCall makes an exit call on behalf of a request, and returns its answer.
-func (n *node) exitCall(c *http.Client, in *http.Request, method, target string, body io.Reader) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(in.Context(), method, target, body)
+// exitCall makes an exit call on behalf of a request that the backend server is handling. It takes the context and the
+// call handle from that request.
+func (n *node) exitCall(c *http.Client, parent *http.Request, method, target string, body io.Reader) (*http.Response, error) {
+	r, err := http.NewRequestWithContext(parent.Context(), method, target, body)
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set(figpier.HeaderCall, in.Header.Get(figpier.HeaderCall))
+	r.Header.Set(figpier.HeaderCall, parent.Header.Get(figpier.HeaderCall))
 	return c.Do(r)
 }
 
-// client returns a caller's client of one protocol.
-func client(t testing.TB, http2 bool) *http.Client {
+// newClient returns a caller's client that speaks only HTTP/2 without TLS, or only HTTP/1.1.
+func newClient(t testing.TB, http2 bool) *http.Client {
 	p := &http.Protocols{}
 	p.SetHTTP1(!http2)
 	p.SetUnencryptedHTTP2(http2)
@@ -161,7 +164,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// request returns a caller's request with a key.
+// request returns a request to the node's callers' listener, with a valid key.
 func (n *node) request(method, path string, body io.Reader) *http.Request {
 	r, err := http.NewRequestWithContext(n.t.Context(), method, "http://"+n.caller.ListenAddress()+path, body)
 	assert.NilError(n.t, err)
@@ -169,7 +172,7 @@
 	return r
 }
 
-// reply is a whole answer.
+// reply is an answer whose body has been read to its end.
 type reply struct {
 	status  int
 	header  http.Header
@@ -177,11 +180,13 @@
 	text    string
 }
 
+// notRun reports whether the answer is marked as not run.
 func (p *reply) notRun() bool { return p.header.Get(figpier.HeaderNotRun) == figpier.NotRunMark }
 
+// reason returns the reason of a refusal, empty for other answers.
 func (p *reply) reason() string { return p.header.Get(figpier.HeaderRefusal) }
 
-// bodyNotRun returns what the body of a refusal says.
+// bodyNotRun returns the notRun field of a refusal's body.
 func (p *reply) bodyNotRun(t testing.TB) bool {
 	t.Helper()
 	var body struct {
@@ -191,7 +196,7 @@
 	return body.NotRun
 }
 
-// send returns the whole answer, or the error by which it broke off.
+// send sends a request and reads the whole answer. It returns an error if the answer is incomplete.
 func send(c *http.Client, r *http.Request) (*reply, error) {
 	answer, err := c.Do(r)
 	if err != nil {
@@ -205,6 +210,7 @@
 	return &reply{status: answer.StatusCode, header: answer.Header, trailer: answer.Trailer, text: string(text)}, nil
 }
 
+// mustSend sends a request and fails the test if no complete answer arrives.
 func mustSend(t testing.TB, c *http.Client, r *http.Request) *reply {
 	t.Helper()
 	p, err := send(c, r)
@@ -212,27 +218,27 @@
 	return p
 }
 
-// eventually waits for a condition and fails the test when it never comes.
-func eventually(t testing.TB, what string, f func() bool) {
+// eventually waits until a condition is met, and fails the test if it is not met within 20 s.
+func eventually(t testing.TB, condition string, met func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f() {
+		if met() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// hangUp closes the connection of a request without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection of a request without sending an answer.
+func closeConnection(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = c.Close()
 	}
 }
 
-// rawServer accepts connections and hands each to a function.
-func rawServer(t testing.TB, f func(net.Conn)) string {
+// startTCPServer starts a server that handles each connection on its own goroutine, and returns its address.
+func startTCPServer(t testing.TB, handle func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback)
 	assert.NilError(t, err)
@@ -243,7 +249,7 @@
 			if err != nil {
 				return
 			}
-			go f(c)
+			go handle(c)
 		}
 	}()
 	return l.Addr().String()
--- a/test/path/once_test.go
+++ b/test/path/not_run_test.go
@@ -14,9 +14,10 @@
 	"github.com/figpier/figpier"
 )
 
-// deafServer answers the first request of each connection and hangs up on the second after having read it whole.
-func deafServer(t *testing.T, runs *atomic.Int64) string {
-	return rawServer(t, func(c net.Conn) {
+// startSingleAnswerServer starts a server that answers the first request of each connection, and closes the connection
+// without an answer when it has read a second. It counts the requests in runs, except those to /warm.
+func startSingleAnswerServer(t *testing.T, runs *atomic.Int64) string {
+	return startTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for n := range 2 {
@@ -54,8 +55,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			var runs atomic.Int64
-			n := newNode(t, newView(3, "a"), "a").announce(deafServer(t, &runs))
-			c := client(t, false)
+			n := newNode(t, newView(3, "a"), "a").announce(startSingleAnswerServer(t, &runs))
+			c := newClient(t, false)
 			assert.Equal(t, mustSend(t, c, n.request(http.MethodGet, "/warm", nil)).status, http.StatusOK)
 			r := n.request(tt.method, "/once/x", strings.NewReader(tt.body))
 			if tt.key != "" {
@@ -73,17 +74,17 @@
 	}
 }
 
-func TestNotRunMarkPassesOnlyWithoutEvidenceAgainstIt(t *testing.T) {
+func TestNotRunMarkIsDroppedWhenTheRequestMayHaveRun(t *testing.T) {
 	v := newView(0, "a", "b")
 	a := newNode(t, v, "a")
-	exits := a.exits()
+	exitClient := a.exitClient()
 	newNode(t, v, "b").serve(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	refuse := func(w http.ResponseWriter, status int) {
 		w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
 		w.WriteHeader(status)
 	}
-	marked := make(chan struct{})
-	late := make(chan int, 1)
+	markReceived := make(chan struct{})
+	lateExitStatus := make(chan int, 1)
 	a.serve(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/honest":
@@ -93,7 +94,7 @@
 		case "/failure":
 			refuse(w, http.StatusInternalServerError)
 		case "/after-exit":
-			answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier/x", nil)
+			answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier/x", nil)
 			if err == nil {
 				answer.Body.Close()
 			}
@@ -101,14 +102,14 @@
 		case "/before-exit":
 			refuse(w, http.StatusServiceUnavailable)
 			_ = http.NewResponseController(w).Flush()
-			<-marked
-			answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier/x", nil)
+			<-markReceived
+			answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier/x", nil)
 			if err != nil {
-				late <- 0
+				lateExitStatus <- 0
 				return
 			}
 			answer.Body.Close()
-			late <- answer.StatusCode
+			lateExitStatus <- answer.StatusCode
 		}
 	})
 	tests := map[string]struct {
@@ -121,20 +122,20 @@
 		"/after-exit": {http.StatusServiceUnavailable, false},
 	}
 	for path, tt := range tests {
-		p := mustSend(t, client(t, false), a.request(http.MethodGet, path, nil))
+		p := mustSend(t, newClient(t, false), a.request(http.MethodGet, path, nil))
 		assert.Equal(t, p.status, tt.status, path)
 		assert.Equal(t, p.notRun(), tt.notRun, path)
 	}
-	answer, err := client(t, false).Do(a.request(http.MethodGet, "/before-exit", nil))
+	answer, err := newClient(t, false).Do(a.request(http.MethodGet, "/before-exit", nil))
 	assert.NilError(t, err)
 	defer answer.Body.Close()
 	assert.Equal(t, answer.Header.Get(figpier.HeaderNotRun), figpier.NotRunMark)
-	close(marked)
-	assert.Equal(t, <-late, http.StatusForbidden, "no exit call may follow a \"not run\" mark")
+	close(markReceived)
+	assert.Equal(t, <-lateExitStatus, http.StatusForbidden, "an exit call after the \"not run\" mark must be refused")
 }
 
-func TestRefusalAfterAFailedAttemptIsNotNotRun(t *testing.T) {
-	fail := func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }
+func TestRefusalAfterAFailedAttemptIsNotMarkedNotRun(t *testing.T) {
+	fail := func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -156,17 +157,17 @@
 			for _, h := range tt.servers {
 				newNode(t, v, "b").serve(h)
 			}
-			exits := a.exits()
-			seen := make(chan *reply, 1)
+			exitClient := a.exitClient()
+			exitReplies := make(chan *reply, 1)
 			a.serve(func(_ http.ResponseWriter, r *http.Request) {
 				out, _ := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://b.figpier/x", nil)
 				out.Header.Set(figpier.HeaderCall, r.Header.Get(figpier.HeaderCall))
-				p, err := send(exits, out)
+				p, err := send(exitClient, out)
 				assert.Check(t, err)
-				seen <- p
+				exitReplies <- p
 			})
-			mustSend(t, client(t, false), a.request(http.MethodGet, "/x", nil))
-			p := <-seen
+			mustSend(t, newClient(t, false), a.request(http.MethodGet, "/x", nil))
+			p := <-exitReplies
 			assert.Equal(t, p.status, tt.status)
 			assert.Equal(t, p.notRun(), tt.notRun)
 			assert.Equal(t, p.bodyNotRun(t), tt.notRun)
@@ -174,7 +175,7 @@
 	}
 }
 
-func TestClaimsFinishAsTheRunEnded(t *testing.T) {
+func TestClaimRecordsTheOutcomeOfItsRun(t *testing.T) {
 	tests := map[string]struct {
 		first  http.HandlerFunc
 		second string
@@ -184,7 +185,7 @@
 			w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, ""},
-		"no answer": {func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, string(figpier.RefusalClaimUnknown)},
+		"no answer": {func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, string(figpier.RefusalClaimUnknown)},
 		"broken answer": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "half")
@@ -201,7 +202,7 @@
 			attempt := func() (*reply, error) {
 				r := n.request(http.MethodPost, "/once/x", strings.NewReader("hold"))
 				r.Header.Set(figpier.HeaderIdempotencyKey, "k")
-				return send(client(t, false), r)
+				return send(newClient(t, false), r)
 			}
 			_, _ = attempt()
 			eventually(t, "the first run has ended", func() bool { return n.handles.Live() == 0 })
@@ -216,17 +217,17 @@
 	}
 }
 
-func TestUnreachedBackendServerIsProvenNotRun(t *testing.T) {
+func TestUnreachableBackendServerIsMarkedNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", loopback)
 	assert.NilError(t, err)
-	closed := l.Addr().String()
+	unusedAddress := l.Addr().String()
 	assert.NilError(t, l.Close())
-	n := newNode(t, newView(0, "a"), "a").announce(closed)
+	n := newNode(t, newView(0, "a"), "a").announce(unusedAddress)
 	for range 2 {
 		r := n.request(http.MethodPost, "/once/x", strings.NewReader("hold"))
 		r.Header.Set(figpier.HeaderIdempotencyKey, "k")
-		p := mustSend(t, client(t, false), r)
+		p := mustSend(t, newClient(t, false), r)
 		assert.Equal(t, p.status, http.StatusBadGateway)
-		assert.Check(t, p.notRun(), "the claim is free again as well")
+		assert.Check(t, p.notRun(), "a second attempt under the same idempotency key must be admitted too")
 	}
 }
--- a/test/path/end_test.go
+++ b/test/path/termination_test.go
@@ -14,8 +14,9 @@
 	"github.com/figpier/figpier"
 )
 
-// waiting returns a handler that works until its request ends, and a channel of the requests that ended.
-func waiting() (h http.HandlerFunc, began, ended chan struct{}) {
+// blockingHandler returns a handler that blocks until its request is cancelled, and channels that receive a value when a
+// request began and when it ended.
+func blockingHandler() (h http.HandlerFunc, began, ended chan struct{}) {
 	began = make(chan struct{}, 64)
 	ended = make(chan struct{}, 64)
 	return func(_ http.ResponseWriter, r *http.Request) {
@@ -25,11 +26,12 @@
 	}, began, ended
 }
 
-// chain makes node a's backend server wait for b.
-func chain(a *node) {
-	exits := a.exits()
+// serveExitCallsToB starts a backend server for node a that forwards each request's path to service b and answers with
+// the status, and with the reason of a refusal in X-Exit.
+func serveExitCallsToB(a *node) {
+	exitClient := a.exitClient()
 	a.serve(func(w http.ResponseWriter, r *http.Request) {
-		answer, err := a.exitCall(exits, r, http.MethodGet, "http://b.figpier"+r.URL.Path, nil)
+		answer, err := a.exitCall(exitClient, r, http.MethodGet, "http://b.figpier"+r.URL.Path, nil)
 		if err != nil {
 			return
 		}
@@ -39,21 +41,21 @@
 	})
 }
 
-func TestCancellationFreesEachHop(t *testing.T) {
+func TestCancellationReleasesTheCallAtEachHop(t *testing.T) {
 	for protocol, http2 := range protocols {
 		t.Run(protocol, func(t *testing.T) {
 			v := newView(0, "a", "b")
 			a := newNode(t, v, "a")
 			b := newNode(t, v, "b")
-			h, began, ended := waiting()
+			h, began, ended := blockingHandler()
 			b.serve(h)
-			chain(a)
+			serveExitCallsToB(a)
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
 				<-began
 				cancel()
 			}()
-			_, err := send(client(t, http2), a.request(http.MethodGet, "/x", nil).WithContext(ctx))
+			_, err := send(newClient(t, http2), a.request(http.MethodGet, "/x", nil).WithContext(ctx))
 			assert.ErrorIs(t, err, context.Canceled)
 			<-ended
 			eventually(t, "no call is live", func() bool { return a.handles.Live()+b.handles.Live() == 0 })
@@ -61,23 +63,23 @@
 	}
 }
 
-func TestDeadlineFreesEachHop(t *testing.T) {
+func TestDeadlineReleasesTheCallAtEachHop(t *testing.T) {
 	v := newView(0, "a", "b")
 	a := newNode(t, v, "a")
 	b := newNode(t, v, "b")
-	h, _, ended := waiting()
+	h, _, ended := blockingHandler()
 	b.serve(h)
-	chain(a)
-	p := mustSend(t, client(t, false), a.request(http.MethodGet, "/short/x", nil))
+	serveExitCallsToB(a)
+	p := mustSend(t, newClient(t, false), a.request(http.MethodGet, "/short/x", nil))
 	assert.Equal(t, p.status, http.StatusGatewayTimeout)
 	assert.Check(t, !p.notRun())
 	<-ended
 	eventually(t, "no call is live", func() bool { return a.handles.Live()+b.handles.Live() == 0 })
 }
 
-func TestCallerThatDoesNotReadFreesItsSlotAtTheDeadline(t *testing.T) {
+func TestCallerThatDoesNotReadIsEndedAtTheDeadline(t *testing.T) {
 	n := newNode(t, newView(0, "a"), "a").serve(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.Copy(w, newPattern(1<<30))
+		_, _ = io.Copy(w, newPatternReader(1<<30))
 	})
 	c, err := net.Dial("tcp", n.caller.ListenAddress())
 	assert.NilError(t, err)
@@ -85,10 +87,10 @@
 	_, err = fmt.Fprintf(c, "GET /short/x HTTP/1.1\r\nHost: a\r\nFigpier-Key: %s\r\n\r\n", callerKey)
 	assert.NilError(t, err)
 	eventually(t, "the request runs", func() bool { return n.handles.Live() == 1 })
-	eventually(t, "the slot is free", func() bool { return n.handles.Live() == 0 })
+	eventually(t, "the call has ended", func() bool { return n.handles.Live() == 0 })
 }
 
-func TestCallerThatDoesNotSendFreesItsSlotAtTheDeadline(t *testing.T) {
+func TestCallerThatDoesNotSendIsEndedAtTheDeadline(t *testing.T) {
 	n := newNode(t, newView(0, "a"), "a").serve(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	})
@@ -98,32 +100,32 @@
 	_, err = fmt.Fprintf(c, "POST /short/x HTTP/1.1\r\nHost: a\r\nFigpier-Key: %s\r\nContent-Length: 100\r\n\r\nhalf", callerKey)
 	assert.NilError(t, err)
 	eventually(t, "the request runs", func() bool { return n.handles.Live() == 1 })
-	eventually(t, "the slot is free", func() bool { return n.handles.Live() == 0 })
+	eventually(t, "the call has ended", func() bool { return n.handles.Live() == 0 })
 	_, err = io.Copy(io.Discard, c)
-	assert.NilError(t, err, "the node closes the connection")
+	assert.NilError(t, err, "the node must close the connection")
 }
 
 func TestWithdrawnKeyEndsStreamsAtEachHop(t *testing.T) {
 	endings := map[string]struct {
-		end    func(v *view)
+		end    func(v *fakeView)
 		reason figpier.RefusalReason
 	}{
-		"withdrawn":  {(*view).withdraw, figpier.RefusalWithdrawn},
-		"stale view": {(*view).outdate, figpier.RefusalStaleView},
+		"withdrawn":  {(*fakeView).withdrawAllKeys, figpier.RefusalWithdrawn},
+		"stale view": {(*fakeView).makeStale, figpier.RefusalStaleView},
 	}
 	for name, tt := range endings {
 		t.Run(name, func(t *testing.T) {
 			v := newView(0, "a", "b")
 			a := newNode(t, v, "a")
 			b := newNode(t, v, "b")
-			h, began, ended := waiting()
+			h, began, ended := blockingHandler()
 			b.serve(h)
-			chain(a)
+			serveExitCallsToB(a)
 			go func() {
 				<-began
 				tt.end(v)
 			}()
-			p := mustSend(t, client(t, false), a.request(http.MethodGet, "/x", nil))
+			p := mustSend(t, newClient(t, false), a.request(http.MethodGet, "/x", nil))
 			assert.Equal(t, p.reason(), string(tt.reason))
 			assert.Check(t, !p.notRun())
 			<-ended
@@ -132,52 +134,52 @@
 	}
 }
 
-func TestWithdrawnKeyLeavesOpenRequestsAlone(t *testing.T) {
+func TestWithdrawnKeyDoesNotEndRequestsOnOpenRoutes(t *testing.T) {
 	v := newView(0, "a")
 	n := newNode(t, v, "a").serve(func(w http.ResponseWriter, _ *http.Request) {
-		v.withdraw()
+		v.withdrawAllKeys()
 		_, _ = io.WriteString(w, "whole")
 	})
-	p := mustSend(t, client(t, false), n.request(http.MethodGet, "/open/x", nil))
+	p := mustSend(t, newClient(t, false), n.request(http.MethodGet, "/open/x", nil))
 	assert.Equal(t, p.text, "whole")
 }
 
-func TestClosedNodeRefusesNewWorkAndFinishesTheOld(t *testing.T) {
-	gate := make(chan struct{})
+func TestClosedNodeRefusesNewRequestsAndFinishesRunningOnes(t *testing.T) {
+	release := make(chan struct{})
 	began := make(chan struct{}, 1)
 	n := newNode(t, newView(0, "a"), "a").serve(func(w http.ResponseWriter, _ *http.Request) {
 		began <- struct{}{}
-		<-gate
+		<-release
 		_, _ = io.WriteString(w, "whole")
 	})
-	old := make(chan *reply, 1)
-	go func() { old <- mustSend(t, client(t, false), n.request(http.MethodGet, "/x", nil)) }()
+	running := make(chan *reply, 1)
+	go func() { running <- mustSend(t, newClient(t, false), n.request(http.MethodGet, "/x", nil)) }()
 	<-began
 	n.backend.Close()
-	p := mustSend(t, client(t, false), n.request(http.MethodGet, "/x", nil))
+	p := mustSend(t, newClient(t, false), n.request(http.MethodGet, "/x", nil))
 	assert.Equal(t, p.reason(), string(figpier.RefusalLeaving))
 	assert.Check(t, p.notRun())
-	close(gate)
-	assert.Equal(t, (<-old).text, "whole")
+	close(release)
+	assert.Equal(t, (<-running).text, "whole")
 }
 
-func TestDrainHoldsForOneIncarnationOfTheBackendServer(t *testing.T) {
+func TestDrainAppliesToOneIncarnationOfTheBackendServer(t *testing.T) {
 	n := newNode(t, newView(0, "a"), "a").serve(func(http.ResponseWriter, *http.Request) {})
 	address, err := n.backend.Address()
 	assert.NilError(t, err)
-	tell := func(path, body string) {
+	post := func(path, body string) {
 		answer, err := http.Post("http://"+n.backend.ListenAddress()+path, "application/json", strings.NewReader(body))
 		assert.NilError(t, err)
 		assert.NilError(t, answer.Body.Close())
 		assert.Equal(t, answer.StatusCode, http.StatusNoContent)
 	}
 	serves := func() bool {
-		return mustSend(t, client(t, false), n.request(http.MethodGet, "/x", nil)).status == http.StatusOK
+		return mustSend(t, newClient(t, false), n.request(http.MethodGet, "/x", nil)).status == http.StatusOK
 	}
-	tell("/figpier/drain", "")
-	eventually(t, "the drain holds", func() bool { return !serves() })
-	tell("/figpier/announce", fmt.Sprintf(`{"address": %q, "slots": 1}`, address))
-	assert.Check(t, !serves(), "the server that drains goes on announcing itself")
-	tell("/figpier/announce", fmt.Sprintf(`{"address": %q, "slots": 1, "incarnation": "2"}`, address))
-	eventually(t, "its successor serves", serves)
+	post("/figpier/drain", "")
+	eventually(t, "the node refuses requests", func() bool { return !serves() })
+	post("/figpier/announce", fmt.Sprintf(`{"address": %q, "slots": 1}`, address))
+	assert.Check(t, !serves(), "an announcement by the draining incarnation must not end the drain")
+	post("/figpier/announce", fmt.Sprintf(`{"address": %q, "slots": 1, "incarnation": "2"}`, address))
+	eventually(t, "the next incarnation serves", serves)
 }
