--- a/test/system/doc.go
+++ b/test/system/doc.go
@@ -1,2 +1,3 @@
-// Package system holds the tests that run the system's processes on loopback and bring about failures.
+// Package system tests a whole installation: control instances, nodes and backend servers run as processes on loopback
+// addresses, and the tests stop, kill or freeze them, damage their data or cut their connections.
 package system
--- a/test/system/fleet_test.go
+++ b/test/system/fleet_test.go
@@ -19,7 +19,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// operatorToken is the operators' token of a fleet.
+// operatorToken is the token that the control instances of a fleet accept from operators.
 const operatorToken = "test-operator"
 
 // Ports of the listeners, the same on each process's own loopback address.
@@ -33,43 +33,45 @@
 	serverPort   = 7007
 )
 
-// maxQuorumAgeMillis is how long ago, in milliseconds, a control instance may have been in contact with a quorum to
+// maxQuorumAgeMillis is how long ago, in milliseconds, a control instance may have been in contact with a quorum and still
 // answer operators.
 const maxQuorumAgeMillis = 4000
 
-var addresses atomic.Uint32
+// lastAddress numbers the loopback addresses of this test process's fleets.
+var lastAddress atomic.Uint32
 
-// fleet is a set of processes of one test.
+// fleet is the set of processes that one test starts. They end with the test.
 type fleet struct {
-	t       testing.TB
-	folder  string
-	program string
-	server  string
-	issuer  *issuer // signs a certificate for each process, nil for plain loopback
+	t             testing.TB
+	folder        string
+	figpierBinary string
+	backendBinary string
+	authority     *certificateAuthority // signs a certificate for each process, nil for plain loopback
 }
 
-// newFleet builds the programs and returns an empty fleet.
+// newFleet builds the figpier and backend programs and returns a fleet without processes.
 func newFleet(t testing.TB) *fleet {
 	t.Helper()
 	folder := t.TempDir()
 	f := &fleet{
-		t:       t,
-		folder:  folder,
-		program: filepath.Join(folder, "figpier"),
-		server:  filepath.Join(folder, "backend"),
+		t:             t,
+		folder:        folder,
+		figpierBinary: filepath.Join(folder, "figpier"),
+		backendBinary: filepath.Join(folder, "backend"),
 	}
-	f.build(f.program, "github.com/figpier/figpier/cmd/figpier")
-	f.build(f.server, "github.com/figpier/figpier/test/backend")
+	f.build(f.figpierBinary, "github.com/figpier/figpier/cmd/figpier")
+	f.build(f.backendBinary, "github.com/figpier/figpier/test/backend")
 	return f
 }
 
+// build builds a Go package into an executable file.
 func (f *fleet) build(output, path string) {
 	f.t.Helper()
 	out, err := exec.Command("go", "build", "-o", output, path).CombinedOutput()
 	assert.NilError(f.t, err, string(out))
 }
 
-// process is one process of a fleet.
+// process is one process of a fleet. It may be killed and started again.
 type process struct {
 	fleet     *fleet
 	name      string
@@ -79,69 +81,71 @@
 	done      chan struct{}
 }
 
+// newProcess returns a process, not yet started, with a loopback address of its own. The address depends on the process ID
+// of the test, so that test binaries running at the same time rarely share one.
 func (f *fleet) newProcess(name string) *process {
-	n := addresses.Add(1)
+	n := lastAddress.Add(1)
 	pid := uint32(os.Getpid())
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+pid>>8%126, pid%256, n)
 	return &process{fleet: f, name: name, ip: ip}
 }
 
-// Address returns the process's loopback address with a port.
+// address returns the process's loopback address with a port.
 func (p *process) address(port int) string { return fmt.Sprintf("%s:%d", p.ip, port) }
 
-// messages returns the address for messages.
-func (p *process) messages() string { return p.address(messagePort) }
+// messageAddress returns the address of the listener for messages between instances.
+func (p *process) messageAddress() string { return p.address(messagePort) }
 
-// callers returns the address for callers.
-func (p *process) callers() string { return p.address(callerPort) }
+// callerAddress returns the address of a node's listener for callers.
+func (p *process) callerAddress() string { return p.address(callerPort) }
 
-// operators returns the address of the operator API.
-func (p *process) operators() string { return p.address(operatorPort) }
+// operatorAddress returns the address of a control instance's operator API.
+func (p *process) operatorAddress() string { return p.address(operatorPort) }
 
-// metrics returns the address of the metrics.
-func (p *process) metrics() string { return p.address(metricsPort) }
+// metricsAddress returns the address of the listener for metrics.
+func (p *process) metricsAddress() string { return p.address(metricsPort) }
 
-// serverAddress returns the address of a backend server.
+// serverAddress returns the address that a backend server listens on.
 func (p *process) serverAddress() string { return p.address(serverPort) }
 
 // dataFolder returns the data folder of a control instance.
 func (p *process) dataFolder() string { return filepath.Join(p.fleet.folder, p.name+".data") }
 
-// control starts control instances that form one quorum.
-func (f *fleet) control(names ...string) []*process {
+// startControl starts control instances that replicate one log.
+func (f *fleet) startControl(names ...string) []*process {
 	f.t.Helper()
 	var all []*process
 	var replicas []string
 	for _, name := range names {
 		p := f.newProcess(name)
 		all = append(all, p)
-		replicas = append(replicas, fmt.Sprintf(`{"instance": %q, "address": %q}`, name, p.messages()))
+		replicas = append(replicas, fmt.Sprintf(`{"instance": %q, "address": %q}`, name, p.messageAddress()))
 	}
-	tokens := f.tokens()
+	tokens := f.writeTokens()
 	for _, p := range all {
 		settings := fmt.Sprintf(`{
 			// A control instance of a test.
 			"instance": %q, "dataCentre": "dc1", "region": "north", %s "messages": %q, "metrics": %q,
 			"control": {"dataFolder": %q, "operators": %q, "operatorTokens": %q, "replicas": [%s]},
-		}`, p.name, f.security(p), p.messages(), p.metrics(), p.dataFolder(), p.operators(), tokens, strings.Join(replicas, ", "))
-		p.arguments = []string{f.program, "control", "run", "--settings", f.write(p.name, settings)}
+		}`, p.name, f.tlsSettings(p), p.messageAddress(), p.metricsAddress(), p.dataFolder(), p.operatorAddress(), tokens, strings.Join(replicas, ", "))
+		p.arguments = []string{f.figpierBinary, "control", "run", "--settings", f.writeFile(p.name, settings)}
 		p.start()
 	}
 	return all
 }
 
-// node starts a node for a service.
-func (f *fleet) node(name, service string, control []*process) *process {
+// startNode starts a node for a service that connects to the given control instances.
+func (f *fleet) startNode(name, service string, control []*process) *process {
 	f.t.Helper()
 	var addresses []string
 	for _, c := range control {
-		addresses = append(addresses, c.messages())
+		addresses = append(addresses, c.messageAddress())
 	}
-	return f.nodeOf(name, service, addresses...)
+	return f.startNodeAt(name, service, addresses...)
 }
 
-// nodeOf starts a node for a service that reaches control instances at the given addresses.
-func (f *fleet) nodeOf(name, service string, addresses ...string) *process {
+// startNodeAt starts a node for a service that connects to control instances at the given message addresses.
+func (f *fleet) startNodeAt(name, service string, addresses ...string) *process {
 	f.t.Helper()
 	p := f.newProcess(name)
 	var controls []string
@@ -151,22 +155,22 @@
 	settings := fmt.Sprintf(`{
 		"instance": %q, "dataCentre": "dc1", "region": "north", %s "messages": %q, "metrics": %q,
 		"node": {"service": %q, "callers": %q, "peers": %q, "backend": %q, "controls": [%s]},
-	}`, name, f.security(p), p.messages(), p.metrics(), service, p.callers(), p.address(peerPort), p.address(backendPort), strings.Join(controls, ", "))
-	p.arguments = []string{f.program, "node", "run", "--settings", f.write(name, settings)}
+	}`, name, f.tlsSettings(p), p.messageAddress(), p.metricsAddress(), service, p.callerAddress(), p.address(peerPort), p.address(backendPort), strings.Join(controls, ", "))
+	p.arguments = []string{f.figpierBinary, "node", "run", "--settings", f.writeFile(name, settings)}
 	p.start()
 	return p
 }
 
-// backend starts a backend server beside a node.
-func (f *fleet) backend(name string, node *process, options ...string) *process {
+// startBackend starts a backend server that announces itself to a node, unless its options say otherwise.
+func (f *fleet) startBackend(name string, node *process, options ...string) *process {
 	f.t.Helper()
 	p := f.newProcess(name)
-	p.arguments = append([]string{f.server, "--address", p.serverAddress(), "--node", node.address(backendPort)}, options...)
+	p.arguments = append([]string{f.backendBinary, "--address", p.serverAddress(), "--node", node.address(backendPort)}, options...)
 	p.start()
 	return p
 }
 
-// profileText is the profile of the tests.
+// profileText is the profile that configure applies. Its limit is higher than any test's request rate.
 const profileText = `{
 	"name": "p",
 	"routes": [
@@ -178,20 +182,20 @@
 	"retry": {"treeBudget": 2, "share": 0.1, "callerInterval": "100ms"},
 }`
 
-// operate runs a command for operators and returns what it printed.
-func (f *fleet) operate(control []*process, arguments ...string) string {
+// runOperatorCommand runs an operators' command of the figpier program, which must succeed, and returns its output.
+func (f *fleet) runOperatorCommand(control []*process, arguments ...string) string {
 	f.t.Helper()
 	var addresses []string
 	for _, c := range control {
-		addresses = append(addresses, c.operators())
+		addresses = append(addresses, c.operatorAddress())
 	}
-	command := exec.Command(f.program, arguments...)
+	command := exec.Command(f.figpierBinary, arguments...)
 	command.Env = append(os.Environ(),
 		"FIGPIER_OPERATOR_ADDRESS="+strings.Join(addresses, ","),
 		"FIGPIER_OPERATOR_TOKEN="+operatorToken,
 	)
-	if f.issuer != nil {
-		command.Env = append(command.Env, "FIGPIER_OPERATOR_AUTHORITY="+f.issuer.file)
+	if f.authority != nil {
+		command.Env = append(command.Env, "FIGPIER_OPERATOR_AUTHORITY="+f.authority.file)
 	}
 	var messages strings.Builder
 	command.Stderr = &messages
@@ -200,16 +204,17 @@
 	return strings.TrimSpace(string(out))
 }
 
-// configure gives services the profile of the tests, and returns a customer's key.
+// configure waits for a leader that accepts edits, assigns the profile of profileText to services, and returns a key of
+// the customer "acme".
 func (f *fleet) configure(control []*process, services ...string) string {
 	f.t.Helper()
-	waitForListener(f.t, control)
+	waitForOperatorListeners(f.t, control)
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		var status struct {
 			Leader          string `json:"leader"`
 			QuorumAgeMillis int    `json:"quorum_age_millis"`
 		}
-		assert.NilError(f.t, json.Unmarshal([]byte(f.operate(control, "status", "--json")), &status))
+		assert.NilError(f.t, json.Unmarshal([]byte(f.runOperatorCommand(control, "status", "--json")), &status))
 		if status.Leader == "" {
 			return poll.Continue("no leader")
 		}
@@ -218,18 +223,19 @@
 		}
 		return poll.Success()
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(50*time.Millisecond))
-	f.operate(control, "profile", "apply", f.write("p", profileText))
+	f.runOperatorCommand(control, "profile", "apply", f.writeFile("p", profileText))
 	for _, s := range services {
-		f.operate(control, "profile", "assign", "p", s)
+		f.runOperatorCommand(control, "profile", "assign", "p", s)
 	}
-	return f.operate(control, "key", "give", "acme")
+	return f.runOperatorCommand(control, "key", "give", "acme")
 }
 
-func waitForListener(t testing.TB, control []*process) {
+// waitForOperatorListeners waits until all control instances accept connections from operators.
+func waitForOperatorListeners(t testing.TB, control []*process) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, c := range control {
-			conn, err := net.Dial("tcp", c.operators())
+			conn, err := net.Dial("tcp", c.operatorAddress())
 			if err != nil {
 				return poll.Continue("%v", err)
 			}
@@ -239,19 +245,20 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-// tokens writes the digest of the operators' token.
-func (f *fleet) tokens() string {
+// writeTokens writes the file of operators' tokens, which holds the digest of operatorToken, and returns its path.
+func (f *fleet) writeTokens() string {
 	digest := sha256.Sum256([]byte(operatorToken))
-	return f.write("tokens", hex.EncodeToString(digest[:])+" test\n")
+	return f.writeFile("tokens", hex.EncodeToString(digest[:])+" test\n")
 }
 
-func (f *fleet) write(name, text string) string {
+// writeFile writes a file NAME.jsonc in the fleet's folder and returns its path.
+func (f *fleet) writeFile(name, text string) string {
 	path := filepath.Join(f.folder, name+".jsonc")
 	assert.NilError(f.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// start starts the process, again if it was started before.
+// start starts the process, or starts it again after it has ended. Its output is appended to the log.
 func (p *process) start() {
 	p.fleet.t.Helper()
 	p.command = exec.Command(p.arguments[0], p.arguments[1:]...)
@@ -281,7 +288,7 @@
 	assert.NilError(p.fleet.t, p.command.Process.Signal(s))
 }
 
-// kill ends the process at once.
+// kill ends the process by SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.fleet.t.Helper()
 	_ = p.command.Process.Kill()
@@ -294,7 +301,7 @@
 	return p.command.ProcessState.ExitCode()
 }
 
-// log returns what the process wrote.
+// log returns the process's output since its first start.
 func (p *process) log() string {
 	data, _ := os.ReadFile(filepath.Join(p.fleet.folder, p.name+".log"))
 	return string(data)
--- a/test/system/path_test.go
+++ b/test/system/request_test.go
@@ -12,6 +12,8 @@
 	"gotest.tools/v3/poll"
 )
 
+// call sends a request and returns the status, the body and the header of its answer. Without a complete answer, the
+// status is 0 and the text is that of the error.
 func call(t *testing.T, method, url, key string, body io.Reader) (int, string, http.Header) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, url, body)
@@ -31,17 +33,17 @@
 	return answer.StatusCode, string(text), answer.Header
 }
 
-// counts are what a backend server counted.
-type counts struct {
+// backendCounts holds the counts that the test backend server reports at /count.
+type backendCounts struct {
 	Runs   int            `json:"runs"`
-	SawKey bool           `json:"sawKey"`
-	ByKey  map[string]int `json:"byKey"`
+	SawKey bool           `json:"sawKey"` // whether a request carried a caller's key
+	ByKey  map[string]int `json:"byKey"`  // runs by idempotency key
 }
 
-// countsOf returns what a backend server counted, nothing when it does not answer.
-func countsOf(t *testing.T, server *process) counts {
+// fetchCounts returns the counts of a backend server, or the zero value if it does not answer.
+func fetchCounts(t *testing.T, server *process) backendCounts {
 	t.Helper()
-	var c counts
+	var c backendCounts
 	status, text, _ := call(t, http.MethodGet, "http://"+server.serverAddress()+"/count", "", nil)
 	if status == http.StatusOK {
 		assert.NilError(t, json.Unmarshal([]byte(text), &c))
@@ -49,28 +51,28 @@
 	return c
 }
 
-// eventually waits for a condition and fails the test when it never comes.
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits until a condition is met, and fails the test if it is not met within 30 s.
+func eventually(t *testing.T, condition string, met func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f() {
+		if met() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(50*time.Millisecond))
 }
 
-func TestFiveProcessesServeAWholeRequest(t *testing.T) {
+func TestRequestPassesThroughTwoNodesAndTwoBackendServers(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a", "b")
-	a := f.node("a1", "a", control)
-	b := f.node("b1", "b", control)
-	f.backend("sa", a, "--next", "b")
-	sb := f.backend("sb", b)
-	url := "http://" + a.callers() + "/chain?then=/leaf"
+	a := f.startNode("a1", "a", control)
+	b := f.startNode("b1", "b", control)
+	f.startBackend("sa", a, "--next", "b")
+	sb := f.startBackend("sb", b)
+	url := "http://" + a.callerAddress() + "/chain?then=/leaf"
 
-	eventually(t, "the path serves", func() bool {
+	eventually(t, "the request is served", func() bool {
 		status, _, _ := call(t, http.MethodGet, url, key, nil)
 		return status == http.StatusOK
 	})
@@ -85,32 +87,32 @@
 	assert.Equal(t, header.Get("Figpier-Refusal"), "key-unknown")
 	assert.Equal(t, header.Get("Figpier-Not-Run"), "true")
 
-	seen := countsOf(t, sb)
+	seen := fetchCounts(t, sb)
 	assert.Check(t, seen.Runs > 0)
 	assert.Check(t, !seen.SawKey)
 }
 
-func TestEditsAreInForceWhileTrafficRuns(t *testing.T) {
+func TestEditsTakeEffectWhileTrafficRuns(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a")
-	a := f.node("a1", "a", control)
-	f.backend("sa", a)
-	url := "http://" + a.callers() + "/leaf"
+	a := f.startNode("a1", "a", control)
+	f.startBackend("sa", a)
+	url := "http://" + a.callerAddress() + "/leaf"
 	status := func(k string) int {
 		status, _, _ := call(t, http.MethodGet, url, k, nil)
 		return status
 	}
 	eventually(t, "the node serves", func() bool { return status(key) == http.StatusOK })
 
-	second := f.operate(control, "key", "give", "valv")
-	eventually(t, "the given key works", func() bool { return status(second) == http.StatusOK })
-	id := strings.Fields(strings.Split(f.operate(control, "key", "list"), "\n")[2])[0]
-	f.operate(control, "key", "withdraw", id)
+	second := f.runOperatorCommand(control, "key", "give", "valv")
+	eventually(t, "the new key is accepted", func() bool { return status(second) == http.StatusOK })
+	id := strings.Fields(strings.Split(f.runOperatorCommand(control, "key", "list"), "\n")[2])[0]
+	f.runOperatorCommand(control, "key", "withdraw", id)
 	eventually(t, "the withdrawn key is refused", func() bool { return status(second) == http.StatusUnauthorized })
 	assert.Equal(t, status(key), http.StatusOK)
 
 	limited := strings.Replace(profileText, `"rate": "100000/s", "burst": 100000`, `"rate": "0.001/s", "burst": 1`, 1)
-	f.operate(control, "profile", "apply", f.write("limited", limited))
-	eventually(t, "the lower limit is in force", func() bool { return status(key) == http.StatusTooManyRequests })
+	f.runOperatorCommand(control, "profile", "apply", f.writeFile("limited", limited))
+	eventually(t, "the lower limit takes effect", func() bool { return status(key) == http.StatusTooManyRequests })
 }
--- a/test/system/stop_test.go
+++ b/test/system/stop_test.go
@@ -12,32 +12,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// noticeBound is how long after a drain began a backend server may get new work.
-const noticeBound = 2500 * time.Millisecond
+// maxDrainNotice is how long after the start of a drain the backend server may still get new requests.
+const maxDrainNotice = 2500 * time.Millisecond
 
-// load is a number of callers that send one request after the other.
-type load struct {
+// loadGenerator is a number of callers, each of which sends one request after the other, and counts of their answers.
+type loadGenerator struct {
 	stopped atomic.Bool
 	callers sync.WaitGroup
 	served  atomic.Int64
-	refused atomic.Int64
-	cut     atomic.Int64
+	refused atomic.Int64 // answers marked as not run, and refused connections
+	failed  atomic.Int64
 }
 
-// startLoad starts callers, for whom a refused connection counts as a refusal.
-func startLoad(t *testing.T, method, url, key string) *load {
-	l := &load{}
+// startLoad starts eight callers. A refused connection counts as a refusal.
+func startLoad(t *testing.T, method, url, key string) *loadGenerator {
+	l := &loadGenerator{}
 	for range 8 {
 		l.callers.Go(func() {
 			for !l.stopped.Load() {
-				l.note(t, method, url, key)
+				l.sendOne(t, method, url, key)
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) note(t *testing.T, method, url, key string) {
+// sendOne sends one request and counts its answer. A request that was neither served nor refused counts as failed.
+func (l *loadGenerator) sendOne(t *testing.T, method, url, key string) {
 	status, text, header := call(t, method, url, key, strings.NewReader("body"))
 	switch {
 	case status == http.StatusOK:
@@ -48,51 +49,53 @@
 		l.refused.Add(1)
 		t.Logf("status %d: %s", status, text)
 	default:
-		l.cut.Add(1)
+		l.failed.Add(1)
 		t.Logf("status %d: %s", status, text)
 	}
 }
 
-func (l *load) stop() {
+// stop waits for the callers' last answers.
+func (l *loadGenerator) stop() {
 	l.stopped.Store(true)
 	l.callers.Wait()
 }
 
-// pair is a node of a service "a" whose backend server calls one of two nodes of a service "b".
-type pair struct {
+// twoUpstreams is a fleet with one node of service "a", whose backend server calls service "b", and two nodes of "b".
+type twoUpstreams struct {
 	key      string
-	url      string
-	b1, b2   *process
-	sb1, sb2 *process
+	url      string   // of a request to "a" that is passed on to "b"
+	b1, b2   *process // nodes of "b"
+	sb1, sb2 *process // their backend servers
 }
 
-func (f *fleet) pair() *pair {
+func (f *fleet) startTwoUpstreams() *twoUpstreams {
 	f.t.Helper()
-	control := f.control("c1")
-	p := &pair{key: f.configure(control, "a", "b")}
-	// No retry hides a refusal by a node that leaves.
-	f.operate(control, "profile", "apply", f.write("p", strings.Replace(profileText, `"treeBudget": 2`, `"treeBudget": 0`, 1)))
-	a := f.node("a1", "a", control)
-	p.b1 = f.node("b1", "b", control)
-	p.b2 = f.node("b2", "b", control)
-	f.backend("sa", a, "--next", "b")
-	p.sb1 = f.backend("sb1", p.b1, "--work", "50ms")
-	p.sb2 = f.backend("sb2", p.b2, "--work", "50ms")
-	p.url = "http://" + a.callers() + "/chain?then=/leaf"
+	control := f.startControl("c1")
+	p := &twoUpstreams{key: f.configure(control, "a", "b")}
+	// Without retries, a refusal by a node that is leaving reaches the caller.
+	f.runOperatorCommand(control, "profile", "apply", f.writeFile("p", strings.Replace(profileText, `"treeBudget": 2`, `"treeBudget": 0`, 1)))
+	a := f.startNode("a1", "a", control)
+	p.b1 = f.startNode("b1", "b", control)
+	p.b2 = f.startNode("b2", "b", control)
+	f.startBackend("sa", a, "--next", "b")
+	p.sb1 = f.startBackend("sb1", p.b1, "--work", "50ms")
+	p.sb2 = f.startBackend("sb2", p.b2, "--work", "50ms")
+	p.url = "http://" + a.callerAddress() + "/chain?then=/leaf"
 	return p
 }
 
-func (p *pair) await(t *testing.T) {
+// waitUntilServing waits until requests have reached the backend servers of both nodes of "b".
+func (p *twoUpstreams) waitUntilServing(t *testing.T) {
 	t.Helper()
 	eventually(t, "both upstreams serve", func() bool {
-		return serves(t, p.url, p.key) && countsOf(t, p.sb1).Runs > 0 && countsOf(t, p.sb2).Runs > 0
+		return serves(t, p.url, p.key) && fetchCounts(t, p.sb1).Runs > 0 && fetchCounts(t, p.sb2).Runs > 0
 	})
 }
 
-func TestPlannedStopOfANodeCutsNoRequest(t *testing.T) {
+func TestPlannedStopOfANodeFailsNoRequest(t *testing.T) {
 	f := newFleet(t)
-	p := f.pair()
-	p.await(t)
+	p := f.startTwoUpstreams()
+	p.waitUntilServing(t)
 	l := startLoad(t, http.MethodGet, p.url, p.key)
 	p.b2.signal(syscall.SIGTERM)
 	code := p.b2.wait()
@@ -102,52 +105,52 @@
 	assert.Equal(t, code, 0, p.b2.log())
 	assert.Check(t, l.served.Load() > 0)
 	assert.Equal(t, l.refused.Load(), int64(0))
-	assert.Equal(t, l.cut.Load(), int64(0))
+	assert.Equal(t, l.failed.Load(), int64(0))
 }
 
-func TestPlannedStopOfAnEntryNodeCutsNoRequest(t *testing.T) {
+func TestPlannedStopOfAnEntryNodeFailsNoRequest(t *testing.T) {
 	f := newFleet(t)
-	p := f.pair()
-	p.await(t)
-	l := startLoad(t, http.MethodPost, "http://"+p.b2.callers()+"/leaf", p.key)
+	p := f.startTwoUpstreams()
+	p.waitUntilServing(t)
+	l := startLoad(t, http.MethodPost, "http://"+p.b2.callerAddress()+"/leaf", p.key)
 	p.b2.signal(syscall.SIGTERM)
 	code := p.b2.wait()
 	l.stop()
 
 	assert.Equal(t, code, 0, p.b2.log())
 	assert.Check(t, l.served.Load() > 0)
-	assert.Equal(t, l.cut.Load(), int64(0))
+	assert.Equal(t, l.failed.Load(), int64(0))
 }
 
-func TestDrainingBackendServerGetsNoNewWorkAfterTheNotice(t *testing.T) {
+func TestDrainingBackendServerGetsNoNewRequestsAfterTheNotice(t *testing.T) {
 	f := newFleet(t)
-	p := f.pair()
-	p.await(t)
+	p := f.startTwoUpstreams()
+	p.waitUntilServing(t)
 	l := startLoad(t, http.MethodGet, p.url, p.key)
 	status, _, _ := call(t, http.MethodPost, "http://"+p.sb2.serverAddress()+"/drain", "", nil)
 	assert.Equal(t, status, http.StatusNoContent)
-	time.Sleep(noticeBound)
-	after := countsOf(t, p.sb2).Runs
+	time.Sleep(maxDrainNotice)
+	runsAfterNotice := fetchCounts(t, p.sb2).Runs
 	before := l.served.Load()
-	eventually(t, "the other upstream serves on", func() bool { return l.served.Load() > before+20 })
+	eventually(t, "the other upstream continues to serve", func() bool { return l.served.Load() > before+20 })
 	l.stop()
 
-	assert.Equal(t, countsOf(t, p.sb2).Runs, after)
+	assert.Equal(t, fetchCounts(t, p.sb2).Runs, runsAfterNotice)
 	assert.Equal(t, l.refused.Load(), int64(0))
-	assert.Equal(t, l.cut.Load(), int64(0))
+	assert.Equal(t, l.failed.Load(), int64(0))
 }
 
-func TestKilledNodeIsReplacedByItsRestart(t *testing.T) {
+func TestKilledNodeServesAgainAfterARestart(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a")
-	a := f.node("a1", "a", control)
-	f.backend("sa", a)
-	url := "http://" + a.callers() + "/leaf"
-	up := func() bool { return serves(t, url, key) }
-	eventually(t, "the node serves", up)
+	a := f.startNode("a1", "a", control)
+	f.startBackend("sa", a)
+	url := "http://" + a.callerAddress() + "/leaf"
+	nodeServes := func() bool { return serves(t, url, key) }
+	eventually(t, "the node serves", nodeServes)
 	a.kill()
-	assert.Check(t, !up())
+	assert.Check(t, !nodeServes())
 	a.start()
-	eventually(t, "the node serves again", up)
+	eventually(t, "the node serves again", nodeServes)
 }
--- a/test/system/tls_test.go
+++ b/test/system/tls_test.go
@@ -21,14 +21,15 @@
 	"github.com/figpier/figpier"
 )
 
-// issuer is the authority of a fleet with TLS.
-type issuer struct {
+// certificateAuthority signs the certificates of a fleet with TLS.
+type certificateAuthority struct {
 	key         *ecdsa.PrivateKey
 	certificate *x509.Certificate
-	file        string
+	file        string // path of the certificate in PEM
 }
 
-func (f *fleet) newIssuer() *issuer {
+// newCertificateAuthority returns an authority with a new key and writes its certificate to a file.
+func (f *fleet) newCertificateAuthority() *certificateAuthority {
 	f.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(f.t, err)
@@ -44,17 +45,18 @@
 	assert.NilError(f.t, err)
 	certificate, err := x509.ParseCertificate(der)
 	assert.NilError(f.t, err)
-	return &issuer{key: key, certificate: certificate, file: f.writePEM("authority", "CERTIFICATE", der)}
+	return &certificateAuthority{key: key, certificate: certificate, file: f.writePEM("authority", "CERTIFICATE", der)}
 }
 
+// writePEM writes DER bytes as a PEM block and returns the path of the file.
 func (f *fleet) writePEM(name, kind string, der []byte) string {
-	return f.write(name, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
+	return f.writeFile(name, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
 }
 
-// security returns the settings of TLS for a process, empty in a fleet without an issuer.
-func (f *fleet) security(p *process) string {
+// tlsSettings issues a certificate for a process and returns its TLS settings. They are empty in a fleet without TLS.
+func (f *fleet) tlsSettings(p *process) string {
 	f.t.Helper()
-	if f.issuer == nil {
+	if f.authority == nil {
 		return ""
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -66,33 +68,33 @@
 		IPAddresses:  []net.IP{net.ParseIP(p.ip)},
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, f.issuer.certificate, key.Public(), f.issuer.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, f.authority.certificate, key.Public(), f.authority.key)
 	assert.NilError(f.t, err)
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	assert.NilError(f.t, err)
-	return fmt.Sprintf(`"tls": {"authority": %q, "certificate": %q, "key": %q},`, f.issuer.file,
+	return fmt.Sprintf(`"tls": {"authority": %q, "certificate": %q, "key": %q},`, f.authority.file,
 		f.writePEM(p.name+".certificate", "CERTIFICATE", der), f.writePEM(p.name+".key", "PRIVATE KEY", private))
 }
 
-// client returns a client that trusts the fleet's authority and shows no certificate.
-func (f *fleet) client() *http.Client {
+// httpsClient returns a client that trusts the fleet's authority and presents no certificate.
+func (f *fleet) httpsClient() *http.Client {
 	pool := x509.NewCertPool()
-	pool.AddCert(f.issuer.certificate)
+	pool.AddCert(f.authority.certificate)
 	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}}
 }
 
-func TestEveryListenerBeyondTheBackendServersSpeaksTLS(t *testing.T) {
+func TestEveryListenerExceptThoseForBackendServersUsesTLS(t *testing.T) {
 	f := newFleet(t)
-	f.issuer = f.newIssuer()
-	control := f.control("c1")
-	a := f.node("a1", "a", control)
-	b := f.node("b1", "b", control)
-	f.backend("sa", a, "--next", "b")
-	f.backend("sb", b)
+	f.authority = f.newCertificateAuthority()
+	control := f.startControl("c1")
+	a := f.startNode("a1", "a", control)
+	b := f.startNode("b1", "b", control)
+	f.startBackend("sa", a, "--next", "b")
+	f.startBackend("sb", b)
 	key := f.configure(control, "a", "b")
-	client := f.client()
-	look := func() (string, bool) {
-		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "https://"+a.callers()+"/chain?then=/leaf", strings.NewReader("whole"))
+	client := f.httpsClient()
+	callChain := func() (string, bool) {
+		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "https://"+a.callerAddress()+"/chain?then=/leaf", strings.NewReader("whole"))
 		assert.NilError(t, err)
 		r.Header.Set(figpier.HeaderKey, key)
 		answer, err := client.Do(r)
@@ -103,24 +105,24 @@
 		body, err := io.ReadAll(answer.Body)
 		return string(body), err == nil && answer.StatusCode == http.StatusOK
 	}
-	eventually(t, "a call passes two nodes with TLS", func() bool {
-		body, ok := look()
+	eventually(t, "a request passes through two nodes with TLS", func() bool {
+		body, ok := callChain()
 		return ok && body == "whole"
 	})
 
-	for _, address := range []string{a.callers(), a.metrics(), control[0].operators(), a.address(peerPort), a.messages(), control[0].messages()} {
-		assert.Check(t, plainIsRefused(address), "%s answers plain HTTP", address)
+	for _, address := range []string{a.callerAddress(), a.metricsAddress(), control[0].operatorAddress(), a.address(peerPort), a.messageAddress(), control[0].messageAddress()} {
+		assert.Check(t, refusesPlainHTTP(address), "%s answers plain HTTP", address)
 	}
-	for _, address := range []string{b.address(peerPort), b.messages(), control[0].messages()} {
-		assert.Check(t, f.needsCertificate(address), "%s takes a peer without a certificate", address)
+	for _, address := range []string{b.address(peerPort), b.messageAddress(), control[0].messageAddress()} {
+		assert.Check(t, f.requiresCertificate(address), "%s accepts a peer without a certificate", address)
 	}
 }
 
-// needsCertificate reports whether a listener ends a connection that shows no certificate for want of one.
-func (f *fleet) needsCertificate(address string) bool {
+// requiresCertificate reports whether a listener closes a connection because the client presents no certificate.
+func (f *fleet) requiresCertificate(address string) bool {
 	f.t.Helper()
 	pool := x509.NewCertPool()
-	pool.AddCert(f.issuer.certificate)
+	pool.AddCert(f.authority.certificate)
 	c, err := tls.Dial("tcp", address, &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13})
 	if err != nil {
 		return false
@@ -131,8 +133,9 @@
 	return err != nil && strings.Contains(err.Error(), "certificate required")
 }
 
-// plainIsRefused reports whether a listener answers plain HTTP with nothing but the hint to use TLS.
-func plainIsRefused(address string) bool {
+// refusesPlainHTTP reports whether a listener closes a plain HTTP connection or answers it with 400 Bad Request, as
+// net/http does on a TLS port.
+func refusesPlainHTTP(address string) bool {
 	answer, err := http.Get("http://" + address + "/")
 	if err != nil {
 		return true
--- a/test/system/withdrawal_test.go
+++ b/test/system/withdrawal_test.go
@@ -14,16 +14,16 @@
 	"github.com/figpier/figpier/test/relay"
 )
 
-// withdrawalBound is how long after its key was withdrawn a stream may last.
-const withdrawalBound = 4 * time.Second
+// maxWithdrawalDelay is how long a stream may last after its key was withdrawn.
+const maxWithdrawalDelay = 4 * time.Second
 
-// stream is an answer without end that a test reads in the background.
+// stream is an endless answer that a test reads in the background.
 type stream struct {
 	status int
-	ended  chan time.Time
+	ended  chan time.Time // receives the time at which the stream ended
 }
 
-// openStream starts a streamed answer and returns once its first line has come.
+// openStream requests a streamed answer and returns after its first line has arrived.
 func openStream(t *testing.T, url, key string) *stream {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -43,8 +43,8 @@
 	return s
 }
 
-// endsWithin fails the test when the stream lasts longer than a time.
-func (s *stream) endsWithin(t *testing.T, d time.Duration) {
+// assertEndsWithin fails the test if the stream lasts longer than d from now.
+func (s *stream) assertEndsWithin(t *testing.T, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
@@ -55,8 +55,8 @@
 	}
 }
 
-// lasts fails the test when the stream ends within a time.
-func (s *stream) lasts(t *testing.T, d time.Duration) {
+// assertLasts fails the test if the stream ends within d from now.
+func (s *stream) assertLasts(t *testing.T, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
@@ -67,7 +67,7 @@
 	}
 }
 
-// keyID returns the name of the only key.
+// keyID returns the ID of the only key in the configuration.
 func (f *fleet) keyID(control []*process) string {
 	f.t.Helper()
 	var list struct {
@@ -75,7 +75,7 @@
 			ID string `json:"id"`
 		} `json:"keys"`
 	}
-	text := f.operate(control, "key", "list", "--json")
+	text := f.runOperatorCommand(control, "key", "list", "--json")
 	assert.NilError(f.t, json.Unmarshal([]byte(text), &list), text)
 	assert.Equal(f.t, len(list.Keys), 1)
 	return list.Keys[0].ID
@@ -83,64 +83,64 @@
 
 func TestWithdrawnKeyEndsOpenStreams(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a", "b")
-	a := f.node("a1", "a", control)
-	b := f.node("b1", "b", control)
-	f.backend("sa", a, "--next", "b")
-	f.backend("sb", b)
-	direct := "http://" + b.callers() + "/stream"
-	deep := "http://" + a.callers() + "/chain?then=/stream"
-	for _, url := range []string{"http://" + b.callers() + "/leaf", "http://" + a.callers() + "/chain?then=/leaf"} {
+	a := f.startNode("a1", "a", control)
+	b := f.startNode("b1", "b", control)
+	f.startBackend("sa", a, "--next", "b")
+	f.startBackend("sb", b)
+	direct := "http://" + b.callerAddress() + "/stream"
+	throughChain := "http://" + a.callerAddress() + "/chain?then=/stream"
+	for _, url := range []string{"http://" + b.callerAddress() + "/leaf", "http://" + a.callerAddress() + "/chain?then=/leaf"} {
 		eventually(t, url, func() bool { return serves(t, url, key) })
 	}
-	streams := []*stream{openStream(t, direct, key), openStream(t, deep, key)}
-	f.operate(control, "key", "withdraw", f.keyID(control))
+	streams := []*stream{openStream(t, direct, key), openStream(t, throughChain, key)}
+	f.runOperatorCommand(control, "key", "withdraw", f.keyID(control))
 	for _, s := range streams {
-		s.endsWithin(t, withdrawalBound)
+		s.assertEndsWithin(t, maxWithdrawalDelay)
 	}
 	status, _, _ := call(t, http.MethodGet, direct, key, nil)
 	assert.Equal(t, status, http.StatusUnauthorized)
 }
 
-func TestStreamEndsAtANodeThatIsCutOff(t *testing.T) {
+func TestStreamEndsAtANodeCutOffFromItsControlInstance(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a")
-	link, err := relay.Listen(t.Context(), control[0].messages())
+	link, err := relay.Listen(t.Context(), control[0].messageAddress())
 	assert.NilError(t, err)
-	a := f.nodeOf("a1", "a", link.Address())
-	f.backend("sa", a)
-	url := "http://" + a.callers() + "/stream"
-	eventually(t, "the node serves", func() bool { return serves(t, "http://"+a.callers()+"/leaf", key) })
+	a := f.startNodeAt("a1", "a", link.Address())
+	f.startBackend("sa", a)
+	url := "http://" + a.callerAddress() + "/stream"
+	eventually(t, "the node serves", func() bool { return serves(t, "http://"+a.callerAddress()+"/leaf", key) })
 	s := openStream(t, url, key)
 	link.Cut()
-	f.operate(control, "key", "withdraw", f.keyID(control))
-	s.endsWithin(t, withdrawalBound)
+	f.runOperatorCommand(control, "key", "withdraw", f.keyID(control))
+	s.assertEndsWithin(t, maxWithdrawalDelay)
 	status, _, header := call(t, http.MethodGet, url, key, nil)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, header.Get("Figpier-Refusal"), "stale-view")
 }
 
-func TestStreamLastsWhenItsNodeLosesTrackOfAControlConnection(t *testing.T) {
+func TestStreamLastsWhenAConnectionToAControlInstanceGoesSilent(t *testing.T) {
 	f := newFleet(t)
-	control := f.control("c1")
+	control := f.startControl("c1")
 	key := f.configure(control, "a")
-	link, err := relay.Listen(t.Context(), control[0].messages())
+	link, err := relay.Listen(t.Context(), control[0].messageAddress())
 	assert.NilError(t, err)
-	a := f.nodeOf("a1", "a", link.Address())
-	f.backend("sa", a)
-	leaf := "http://" + a.callers() + "/leaf"
+	a := f.startNodeAt("a1", "a", link.Address())
+	f.startBackend("sa", a)
+	leaf := "http://" + a.callerAddress() + "/leaf"
 	eventually(t, "the node serves", func() bool { return serves(t, leaf, key) })
-	s := openStream(t, "http://"+a.callers()+"/stream", key)
+	s := openStream(t, "http://"+a.callerAddress()+"/stream", key)
 	before := link.Accepted()
 	link.Lose()
-	s.lasts(t, withdrawalBound)
-	assert.Check(t, link.Accepted() > before, "the connection was replaced")
+	s.assertLasts(t, maxWithdrawalDelay)
+	assert.Check(t, link.Accepted() > before, "the connection must be replaced")
 	assert.Check(t, serves(t, leaf, key))
 }
 
-// serves reports whether a request is answered well.
+// serves reports whether a GET request is answered with 200 OK.
 func serves(t *testing.T, url, key string) bool {
 	t.Helper()
 	status, _, _ := call(t, http.MethodGet, url, key, nil)
