--- a/test/architecture/doc.go
+++ b/test/architecture/doc.go
@@ -1,2 +1,2 @@
-// Package architecture tests that the code keeps to the shape that the developers' page sets down.
+// Package architecture checks the module's source files against the rules of the code's shape on the developers' page.
 package architecture
--- a/test/architecture/rules_test.go
+++ b/test/architecture/rules_test.go
@@ -11,62 +11,70 @@
 	"strings"
 )
 
-// source is one parsed file that a person wrote and that is no test.
-type source struct {
-	folder string // slash-separated, "." for the root
-	name   string
-	set    *token.FileSet
-	syntax *ast.File
+// sourceFile is one parsed Go file of the module, neither a test nor generated.
+type sourceFile struct {
+	folder  string // slash-separated, "." for the root
+	name    string
+	fileSet *token.FileSet
+	syntax  *ast.File
 }
 
-// rule returns what is wrong in a file.
-type rule func(s source) []string
+// rule returns the violations in a file, each as "PATH:LINE: text".
+type rule func(s sourceFile) []string
 
+// rules are the checked rules by name. Every rule needs an example in TestRulesReportViolations.
 var rules = map[string]rule{
-	"interfaces stand in the root package":          interfacesInRoot,
-	"data fields are unexported":                    fieldsUnexported,
-	"packages are at internal/AREA/PACKAGE":         packageDepth,
-	"every failure has a type":                      typedFailures,
-	"decisions import no codec, socket or clock":    pureDecisions,
-	"only the kernel runs events":                   eventsOnTheControlThread,
-	"no thread spins or sleeps":                     noSpinning,
-	"clustering and proxying are the project's own": ownClustering,
-	"the platform's names stay in its folder":       platformNames,
+	"interfaces are declared in the root package":              interfacesInRoot,
+	"data fields are unexported":                               fieldsUnexported,
+	"packages are at internal/AREA/PACKAGE":                    packageDepth,
+	"every error has a type":                                   typedErrors,
+	"decisions import no codec, socket or clock":               pureDecisions,
+	"only the kernel calls HandleEvent":                        eventsOnlyInKernel,
+	"no thread spins or sleeps":                                noSpinning,
+	"no library does the clustering or the proxying":           noForeignClustering,
+	"names of the platform's protocol are only below platform": platformNamesInPlatform,
 }
 
 var (
-	inputType   = regexp.MustCompile(`(Config|Options|Settings|config|options|settings)$`)
-	foreignWork = regexp.MustCompile(`hashicorp/(raft|memberlist|serf)|etcd\.io/|dragonboat|vulcand/oxy|^os/exec$`)
-	platform    = regexp.MustCompile(`(?i)X-(Attempt-Id|Deadline-Ms|Expected-Instance|Not-Executed|Server-Signature|Caller-Service|Tenant)|figpier/(readiness|instances|configuration)|target_latency|weighted_services|heartbeat_address`)
-	impure      = regexp.MustCompile(`^(net|os|io|encoding|syscall|database)(/|$)|jsonrpc2|logrus|goa\.design|hujson`)
-	clockCalls  = []string{"Now", "Since", "Until", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep"}
+	// configType matches the types that callers fill in, which may have exported fields.
+	configType = regexp.MustCompile(`(Config|Options|Settings|config|options|settings)$`)
+	// clusteringImport matches libraries, and the start of other programs, that would do the project's own work.
+	clusteringImport = regexp.MustCompile(`hashicorp/(raft|memberlist|serf)|etcd\.io/|dragonboat|vulcand/oxy|^os/exec$`)
+	// platformName matches headers, paths and fields of the platform's protocol.
+	platformName = regexp.MustCompile(`(?i)X-(Attempt-Id|Deadline-Ms|Expected-Instance|Not-Executed|Server-Signature|Caller-Service|Tenant)|figpier/(readiness|instances|configuration)|target_latency|weighted_services|heartbeat_address`)
+	// nonPolicyImport matches packages for I/O and encoding, which policies must not use.
+	nonPolicyImport = regexp.MustCompile(`^(net|os|io|encoding|syscall|database)(/|$)|jsonrpc2|logrus|goa\.design|hujson`)
+	// clockFunctions are the functions of package time that read a clock or wait. Policies get the time as an argument.
+	clockFunctions = []string{"Now", "Since", "Until", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep"}
 )
 
-func (s source) at(n ast.Node, format string, a ...any) string {
-	where := fmt.Sprintf("%s:%d: ", path.Join(s.folder, s.name), s.set.Position(n.Pos()).Line)
+// violation returns a text that begins with the position of a node.
+func (s sourceFile) violation(n ast.Node, format string, a ...any) string {
+	where := fmt.Sprintf("%s:%d: ", path.Join(s.folder, s.name), s.fileSet.Position(n.Pos()).Line)
 	return where + fmt.Sprintf(format, a...)
 }
 
-// find collects what a function says of each node of a file.
-func (s source) find(look func(n ast.Node) string) []string {
-	var faults []string
+// violations calls check for each node of a file and collects the texts, with positions. An empty text is no violation.
+func (s sourceFile) violations(check func(n ast.Node) string) []string {
+	var violations []string
 	ast.Inspect(s.syntax, func(n ast.Node) bool {
 		if n == nil {
 			return true
 		}
-		if fault := look(n); fault != "" {
-			faults = append(faults, s.at(n, "%s", fault))
+		if text := check(n); text != "" {
+			violations = append(violations, s.violation(n, "%s", text))
 		}
 		return true
 	})
-	return faults
+	return violations
 }
 
-func interfacesInRoot(s source) []string {
+// interfacesInRoot reports interfaces with methods outside the root package. Type constraints may be anywhere.
+func interfacesInRoot(s sourceFile) []string {
 	if s.folder == "." {
 		return nil
 	}
-	return s.find(func(n ast.Node) string {
+	return s.violations(func(n ast.Node) string {
 		i, ok := n.(*ast.InterfaceType)
 		if !ok {
 			return ""
@@ -80,10 +88,11 @@
 	})
 }
 
-func fieldsUnexported(s source) []string {
-	return s.find(func(n ast.Node) string {
+// fieldsUnexported reports exported fields of structs other than those of configType.
+func fieldsUnexported(s sourceFile) []string {
+	return s.violations(func(n ast.Node) string {
 		t, ok := n.(*ast.TypeSpec)
-		if !ok || inputType.MatchString(t.Name.Name) {
+		if !ok || configType.MatchString(t.Name.Name) {
 			return ""
 		}
 		fields, ok := t.Type.(*ast.StructType)
@@ -101,56 +110,60 @@
 	})
 }
 
-func packageDepth(s source) []string {
+// packageDepth reports packages below internal that are not at internal/AREA/PACKAGE.
+func packageDepth(s sourceFile) []string {
 	rest, inside := strings.CutPrefix(s.folder, "internal/")
 	if s.folder == "internal" || inside && strings.Count(rest, "/") != 1 {
-		return []string{s.at(s.syntax, "a package at another depth")}
+		return []string{s.violation(s.syntax, "a package below internal must be at internal/AREA/PACKAGE")}
 	}
 	return nil
 }
 
-func typedFailures(s source) []string {
-	return s.find(func(n ast.Node) string {
+// typedErrors reports errors made by functions that give them no type.
+func typedErrors(s sourceFile) []string {
+	return s.violations(func(n ast.Node) string {
 		c, ok := n.(*ast.CallExpr)
 		if !ok {
 			return ""
 		}
-		if name := called(c); slices.Contains([]string{"errors.New", "fmt.Errorf", "errs.New", "errs.Errorf"}, name) {
-			return name + " makes a failure without a type"
+		if name := calledFunction(c); slices.Contains([]string{"errors.New", "fmt.Errorf", "errs.New", "errs.Errorf"}, name) {
+			return name + " makes an error without a type"
 		}
 		return ""
 	})
 }
 
-func pureDecisions(s source) []string {
+// pureDecisions reports policies that import I/O, encodings or the project's other packages, or that read a clock.
+func pureDecisions(s sourceFile) []string {
 	if !strings.HasPrefix(s.folder, "internal/policy/") {
 		return nil
 	}
-	var faults []string
+	var violations []string
 	for _, i := range s.syntax.Imports {
 		p, _ := strconv.Unquote(i.Path.Value)
 		own, isOwn := strings.CutPrefix(p, modulePath+"/")
-		if impure.MatchString(p) || isOwn && !strings.HasPrefix(own, "internal/policy/") {
-			faults = append(faults, s.at(i, "imports %s", p))
+		if nonPolicyImport.MatchString(p) || isOwn && !strings.HasPrefix(own, "internal/policy/") {
+			violations = append(violations, s.violation(i, "imports %s", p))
 		}
 	}
-	return append(faults, s.find(func(n ast.Node) string {
+	return append(violations, s.violations(func(n ast.Node) string {
 		c, ok := n.(*ast.CallExpr)
 		if !ok {
 			return ""
 		}
-		if name, isTime := strings.CutPrefix(called(c), "time."); isTime && slices.Contains(clockCalls, name) {
+		if name, isTime := strings.CutPrefix(calledFunction(c), "time."); isTime && slices.Contains(clockFunctions, name) {
 			return "reads a clock by time." + name
 		}
 		return ""
 	})...)
 }
 
-func eventsOnTheControlThread(s source) []string {
+// eventsOnlyInKernel reports calls of HandleEvent outside the kernel, which calls it on the control thread.
+func eventsOnlyInKernel(s sourceFile) []string {
 	if strings.HasPrefix(s.folder, "internal/kernel/") {
 		return nil
 	}
-	return s.find(func(n ast.Node) string {
+	return s.violations(func(n ast.Node) string {
 		c, ok := n.(*ast.CallExpr)
 		if !ok {
 			return ""
@@ -162,15 +175,16 @@
 	})
 }
 
-func noSpinning(s source) []string {
-	return s.find(func(n ast.Node) string {
+// noSpinning reports sleeps and loops that poll without waiting.
+func noSpinning(s sourceFile) []string {
+	return s.violations(func(n ast.Node) string {
 		switch n := n.(type) {
 		case *ast.CallExpr:
-			if name := called(n); name == "time.Sleep" || name == "runtime.Gosched" {
+			if name := calledFunction(n); name == "time.Sleep" || name == "runtime.Gosched" {
 				return "calls " + name
 			}
 		case *ast.ForStmt:
-			if n.Cond == nil && pollsInLoop(n.Body) {
+			if n.Cond == nil && pollsWithoutLeaving(n.Body) {
 				return "loops around a select with a default"
 			}
 		}
@@ -178,15 +192,16 @@
 	})
 }
 
-// pollsInLoop reports whether a loop's body holds a select that falls through to a default without leaving the loop.
-func pollsInLoop(body *ast.BlockStmt) bool {
+// pollsWithoutLeaving reports whether a loop's body holds a select whose default case does not return, so that the loop
+// runs on without waiting.
+func pollsWithoutLeaving(body *ast.BlockStmt) bool {
 	for _, stmt := range body.List {
 		choice, ok := stmt.(*ast.SelectStmt)
 		if !ok {
 			continue
 		}
 		for _, c := range choice.Body.List {
-			if clause, ok := c.(*ast.CommClause); ok && clause.Comm == nil && !leaves(clause.Body) {
+			if clause, ok := c.(*ast.CommClause); ok && clause.Comm == nil && !endsInReturn(clause.Body) {
 				return true
 			}
 		}
@@ -194,7 +209,8 @@
 	return false
 }
 
-func leaves(body []ast.Stmt) bool {
+// endsInReturn reports whether the last statement of a case is a return.
+func endsInReturn(body []ast.Stmt) bool {
 	if len(body) == 0 {
 		return false
 	}
@@ -202,32 +218,34 @@
 	return returns
 }
 
-func ownClustering(s source) []string {
-	var faults []string
+// noForeignClustering reports the use of clusteringImport or of the standard library's reverse proxy.
+func noForeignClustering(s sourceFile) []string {
+	var violations []string
 	for _, i := range s.syntax.Imports {
 		p, _ := strconv.Unquote(i.Path.Value)
-		if foreignWork.MatchString(p) {
-			faults = append(faults, s.at(i, "imports %s", p))
+		if clusteringImport.MatchString(p) {
+			violations = append(violations, s.violation(i, "imports %s", p))
 		}
 	}
-	return append(faults, s.find(func(n ast.Node) string {
-		if f, ok := n.(*ast.SelectorExpr); ok && selector(f) == "httputil.ReverseProxy" {
+	return append(violations, s.violations(func(n ast.Node) string {
+		if f, ok := n.(*ast.SelectorExpr); ok && selectorName(f) == "httputil.ReverseProxy" {
 			return "uses httputil.ReverseProxy"
 		}
 		return ""
 	})...)
 }
 
-// called returns the package and name of a call such as "errors.New", empty for others.
-func called(c *ast.CallExpr) string {
+// calledFunction returns the name of the called function in the form "errors.New", empty for calls of another form.
+func calledFunction(c *ast.CallExpr) string {
 	f, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return ""
 	}
-	return selector(f)
+	return selectorName(f)
 }
 
-func selector(f *ast.SelectorExpr) string {
+// selectorName returns a selector as "x.Name" if x is an identifier, otherwise an empty string.
+func selectorName(f *ast.SelectorExpr) string {
 	x, ok := f.X.(*ast.Ident)
 	if !ok {
 		return ""
@@ -235,13 +253,14 @@
 	return x.Name + "." + f.Sel.Name
 }
 
-func platformNames(s source) []string {
+// platformNamesInPlatform reports string literals with a name of the platform's protocol outside the folder platform.
+func platformNamesInPlatform(s sourceFile) []string {
 	if s.folder == "platform" || strings.HasPrefix(s.folder, "platform/") {
 		return nil
 	}
-	return s.find(func(n ast.Node) string {
-		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING && platform.MatchString(l.Value) {
-			return "has a name of the platform, " + l.Value
+	return s.violations(func(n ast.Node) string {
+		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING && platformName.MatchString(l.Value) {
+			return "contains a name of the platform's protocol: " + l.Value
 		}
 		return ""
 	})
--- a/test/architecture/architecture_test.go
+++ b/test/architecture/shape_test.go
@@ -19,10 +19,10 @@
 	rootFolder = "../.."
 )
 
-// sources returns the files of the module that a person wrote and that are no tests.
-func sources(t *testing.T) []source {
+// parseSources returns the module's Go files, except tests, generated files and the folders testdata and .NAME.
+func parseSources(t *testing.T) []sourceFile {
 	t.Helper()
-	var all []source
+	var all []sourceFile
 	err := filepath.WalkDir(rootFolder, func(p string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		s := parse(t, filepath.ToSlash(folder), d.Name(), string(text))
+		s := parseSource(t, filepath.ToSlash(folder), d.Name(), string(text))
 		if !ast.IsGenerated(s.syntax) {
 			all = append(all, s)
 		}
@@ -55,21 +55,22 @@
 	return all
 }
 
-func parse(t *testing.T, folder, name, text string) source {
+// parseSource parses the text of a Go file in a folder of the module.
+func parseSource(t *testing.T, folder, name, text string) sourceFile {
 	t.Helper()
-	set := token.NewFileSet()
-	file, err := parser.ParseFile(set, name, text, parser.ParseComments)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, name, text, parser.ParseComments)
 	assert.NilError(t, err)
-	return source{folder: folder, name: name, set: set, syntax: file}
+	return sourceFile{folder: folder, name: name, fileSet: fileSet, syntax: file}
 }
 
-func TestCodeKeepsToTheShape(t *testing.T) {
-	all := sources(t)
+func TestCodeFollowsTheRules(t *testing.T) {
+	all := parseSources(t)
 	for name, r := range rules {
 		t.Run(name, func(t *testing.T) {
 			for _, s := range all {
-				for _, fault := range r(s) {
-					t.Error(fault)
+				for _, violation := range r(s) {
+					t.Error(violation)
 				}
 			}
 		})
@@ -78,7 +79,7 @@
 
 func TestEveryPackageHasADocFile(t *testing.T) {
 	documented := map[string]bool{}
-	for _, s := range sources(t) {
+	for _, s := range parseSources(t) {
 		documented[s.folder] = documented[s.folder] || s.name == "doc.go" && s.syntax.Doc != nil
 	}
 	for folder, ok := range documented {
@@ -86,43 +87,43 @@
 	}
 }
 
-func TestRulesFindFaults(t *testing.T) {
+func TestRulesReportViolations(t *testing.T) {
 	tests := []struct {
 		rule   string
 		folder string
 		code   string
 	}{
-		{"interfaces stand in the root package", "internal/a/b", "type I interface { M() }"},
-		{"interfaces stand in the root package", "internal/a/b", "func f(i interface{ M() }) {}"},
+		{"interfaces are declared in the root package", "internal/a/b", "type I interface { M() }"},
+		{"interfaces are declared in the root package", "internal/a/b", "func f(i interface{ M() }) {}"},
 		{"data fields are unexported", "internal/a/b", "type T struct { Field int }"},
 		{"packages are at internal/AREA/PACKAGE", "internal/a", ""},
 		{"packages are at internal/AREA/PACKAGE", "internal/a/b/c", ""},
-		{"every failure has a type", "internal/a/b", `var e = errors.New("x")`},
-		{"every failure has a type", "internal/a/b", `var e = fmt.Errorf("x")`},
+		{"every error has a type", "internal/a/b", `var e = errors.New("x")`},
+		{"every error has a type", "internal/a/b", `var e = fmt.Errorf("x")`},
 		{"decisions import no codec, socket or clock", "internal/policy/b", `import "net/http"`},
 		{"decisions import no codec, socket or clock", "internal/policy/b", `import "encoding/json"`},
 		{"decisions import no codec, socket or clock", "internal/policy/b", `import "os"`},
 		{"decisions import no codec, socket or clock", "internal/policy/b", `import "` + modulePath + `/internal/wire/codec"`},
 		{"decisions import no codec, socket or clock", "internal/policy/b", "var t = time.Now()"},
-		{"only the kernel runs events", "internal/traffic/b", "func f() { s.HandleEvent(now, e) }"},
+		{"only the kernel calls HandleEvent", "internal/traffic/b", "func f() { s.HandleEvent(now, e) }"},
 		{"no thread spins or sleeps", "internal/a/b", "func f() { time.Sleep(1) }"},
 		{"no thread spins or sleeps", "internal/a/b", "func f() { for { select { case <-c: default: } } }"},
-		{"the platform's names stay in its folder", "internal/a/b", `const h = "X-Attempt-Id"`},
-		{"clustering and proxying are the project's own", "internal/a/b", `import "os/exec"`},
-		{"clustering and proxying are the project's own", "internal/a/b", "var p httputil.ReverseProxy"},
+		{"names of the platform's protocol are only below platform", "internal/a/b", `const h = "X-Attempt-Id"`},
+		{"no library does the clustering or the proxying", "internal/a/b", `import "os/exec"`},
+		{"no library does the clustering or the proxying", "internal/a/b", "var p httputil.ReverseProxy"},
 	}
 	found := map[string]bool{}
 	for _, tt := range tests {
-		s := parse(t, tt.folder, "f.go", "package p\n"+tt.code)
-		assert.Check(t, len(rules[tt.rule](s)) > 0, "%s: not found in %s", tt.rule, tt.code)
+		s := parseSource(t, tt.folder, "f.go", "package p\n"+tt.code)
+		assert.Check(t, len(rules[tt.rule](s)) > 0, "the rule %q reports nothing in %s", tt.rule, tt.code)
 		found[tt.rule] = true
 	}
 	for name := range rules {
-		assert.Check(t, found[name], "%s has no example", name)
+		assert.Check(t, found[name], "the rule %q has no example", name)
 	}
 }
 
-func TestRulesLetGoodCodeBe(t *testing.T) {
+func TestRulesAcceptConformingCode(t *testing.T) {
 	const code = `package p
 
 import "time"
@@ -141,9 +142,9 @@
 	}
 }
 `
-	var faults []string
+	var violations []string
 	for _, r := range rules {
-		faults = slices.Concat(faults, r(parse(t, "internal/policy/b", "f.go", code)))
+		violations = slices.Concat(violations, r(parseSource(t, "internal/policy/b", "f.go", code)))
 	}
-	assert.Equal(t, strings.Join(faults, "\n"), "")
+	assert.Equal(t, strings.Join(violations, "\n"), "")
 }
