--- a/test/relay/doc.go
+++ b/test/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay forwards TCP connections for tests and loses track of them on demand.
+// Package relay forwards TCP connections for tests and can delay, drop or reset them.
 package relay
--- a/test/relay/relay.go
+++ b/test/relay/relay.go
@@ -11,31 +11,37 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures to start a relay.
+// Error is the class of errors that Listen returns.
 var Error = errs.Class("relay")
 
-// Relay forwards connections to one address until it is told to lose track of them.
+// Relay forwards connections to one address and, on demand, delays, drops or resets them. Its methods may be called from
+// any goroutine.
 type Relay struct {
 	listener net.Listener
 	target   string
-	cut      atomic.Bool
+	// dropNew makes each new connection drop all data from its start.
+	dropNew atomic.Bool
+	// delay is a time.Duration.
 	delay    atomic.Int64
 	accepted atomic.Int64
 
-	mu    sync.Mutex
-	links []*link
+	mu sync.Mutex
+	// connections holds all connections accepted so far, also those that have ended. Guarded by mu.
+	connections []*connection
 }
 
-// link is one forwarded connection, which swallows what it reads once it is silent.
-type link struct {
-	silent atomic.Bool
-	// mute says that what the far end sends is swallowed.
-	mute atomic.Bool
-	near net.Conn
-	far  net.Conn
+// connection is one forwarded connection: the one accepted from the caller and the one opened to the server.
+type connection struct {
+	// dropBoth discards the data of both directions.
+	dropBoth atomic.Bool
+	// dropResponses discards the data that the server sends.
+	dropResponses atomic.Bool
+	caller        net.Conn
+	server        net.Conn
 }
 
-// Listen starts a relay on a free loopback port that ends with the context.
+// Listen starts a relay to the target address on a free loopback port. The relay and its connections close when the
+// context ends.
 func Listen(ctx context.Context, target string) (*Relay, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,43 +56,44 @@
 // Address returns the IP address and port that the relay listens on.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Accepted returns the number of connections so far.
+// Accepted returns the number of connections forwarded so far.
 func (r *Relay) Accepted() int64 { return r.accepted.Load() }
 
-// Lose makes the open connections silent for good; new ones work.
+// Lose discards all further data of the open connections, which stay open; new ones work. It simulates a peer that
+// vanishes without closing its connections.
 func (r *Relay) Lose() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.links {
-		k.silent.Store(true)
+	for _, c := range r.connections {
+		c.dropBoth.Store(true)
 	}
 }
 
-// LoseAnswers swallows what the far end sends on the open connections for good; new ones work.
-func (r *Relay) LoseAnswers() {
+// DropResponses discards all further data that the server sends on the open connections, which stay open; new ones work.
+func (r *Relay) DropResponses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.links {
-		k.mute.Store(true)
+	for _, c := range r.connections {
+		c.dropResponses.Store(true)
 	}
 }
 
-// Delay holds each piece of data back for a time, 0 for none.
+// Delay delays each write on all connections, in both directions, by d; 0 ends the delay.
 func (r *Relay) Delay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Reset closes the open connections; new ones work.
+// Reset closes the open connections on both sides; new ones work.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.links {
-		_ = k.near.Close()
-		_ = k.far.Close()
+	for _, c := range r.connections {
+		_ = c.caller.Close()
+		_ = c.server.Close()
 	}
 }
 
-// Cut makes all connections silent for good, also new ones.
+// Cut discards all further data of the open connections and of new ones, as a network partition does.
 func (r *Relay) Cut() {
-	r.cut.Store(true)
+	r.dropNew.Store(true)
 	r.Lose()
 }
 
@@ -94,65 +101,66 @@
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.links {
-		_ = k.near.Close()
-		_ = k.far.Close()
+	for _, c := range r.connections {
+		_ = c.caller.Close()
+		_ = c.server.Close()
 	}
 }
 
 func (r *Relay) accept(ctx context.Context) {
 	for {
-		near, err := r.listener.Accept()
+		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.target)
+		server, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.target)
 		if err != nil {
-			_ = near.Close()
+			_ = caller.Close()
 			continue
 		}
 		r.accepted.Add(1)
-		r.forward(&link{near: near, far: far})
+		r.forward(&connection{caller: caller, server: server})
 	}
 }
 
-func (r *Relay) forward(k *link) {
-	k.silent.Store(r.cut.Load())
+func (r *Relay) forward(c *connection) {
+	c.dropBoth.Store(r.dropNew.Load())
 	r.mu.Lock()
-	r.links = append(r.links, k)
+	r.connections = append(r.connections, c)
 	r.mu.Unlock()
-	go k.pump(k.near, writer{relay: r, silent: &k.silent, to: k.far})
-	go k.pump(k.far, writer{relay: r, silent: &k.silent, mute: &k.mute, to: k.near})
+	go c.pump(c.caller, dropWriter{relay: r, dropBoth: &c.dropBoth, destination: c.server})
+	go c.pump(c.server, dropWriter{relay: r, dropBoth: &c.dropBoth, dropResponses: &c.dropResponses, destination: c.caller})
 }
 
-// pump forwards one direction; the end of a silent connection is not passed on either.
-func (k *link) pump(from net.Conn, to writer) {
-	_, _ = io.Copy(to, from)
-	if !to.swallows() {
-		_ = to.to.Close()
+// pump forwards one direction until its source closes. The close is passed on only if the data is not being dropped.
+func (c *connection) pump(from net.Conn, w dropWriter) {
+	_, _ = io.Copy(w, from)
+	if !w.drops() {
+		_ = w.destination.Close()
 	}
 }
 
-// writer forwards one direction of a connection.
-type writer struct {
-	relay  *Relay
-	silent *atomic.Bool
-	mute   *atomic.Bool
-	to     net.Conn
+// dropWriter forwards one direction of a connection, or discards its data; dropResponses is nil for the direction to the
+// server.
+type dropWriter struct {
+	relay         *Relay
+	dropBoth      *atomic.Bool
+	dropResponses *atomic.Bool
+	destination   net.Conn
 }
 
-// swallows reports whether nothing is forwarded any more.
-func (w writer) swallows() bool {
-	return w.silent.Load() || w.mute != nil && w.mute.Load()
+// drops reports whether the data of this direction is discarded.
+func (w dropWriter) drops() bool {
+	return w.dropBoth.Load() || w.dropResponses != nil && w.dropResponses.Load()
 }
 
-// Write implements io.Writer.
-func (w writer) Write(b []byte) (int, error) {
+// Write waits for the relay's delay and forwards b. Discarded data counts as written.
+func (w dropWriter) Write(b []byte) (int, error) {
 	if d := w.relay.delay.Load(); d > 0 {
 		<-time.After(time.Duration(d))
 	}
-	if w.swallows() {
+	if w.drops() {
 		return len(b), nil
 	}
-	return w.to.Write(b)
+	return w.destination.Write(b)
 }
