--- a/test/surge/cases.go
+++ b/test/surge/cases.go
@@ -5,49 +5,52 @@
 	"time"
 )
 
-// Lengths of the phases of a case.
+// Durations of the phases of a case, and the load before and after its surge as a multiple of the capacity.
 const (
-	calmLength     = 3 * time.Second
-	surgeLength    = 6 * time.Second
-	recoveryLength = 5 * time.Second
-	slowLength     = 10 * time.Second
-	calmLoad       = 0.5
+	baselineDuration = 3 * time.Second
+	surgeDuration    = 6 * time.Second
+	recoveryDuration = 5 * time.Second
+	slowdownDuration = 10 * time.Second
+	baselineLoad     = 0.5
 )
 
-// surgeCase is one trigger: what the load does, and what happens to the backend servers meanwhile.
+// surgeCase is one kind of overload: the load during the surge and what is done to the backend servers meanwhile.
 type surgeCase struct {
-	name    string
-	load    float64
-	length  time.Duration
-	scale   map[int]float64
+	name string
+	// load is a multiple of the capacity.
+	load     float64
+	duration time.Duration
+	// customerScale multiplies the load of some customers, by their index.
+	customerScale map[int]float64
+	// trigger, if set, disturbs the backend servers during the surge, which lasts from one time to the other.
 	trigger func(f *fleet, from, to time.Time)
 }
 
 func cases() []surgeCase {
 	var all []surgeCase
 	for _, load := range []float64{0.5, 1, 2, 4, 8} {
-		all = append(all, surgeCase{name: fmt.Sprintf("load %gx", load), load: load, length: surgeLength})
+		all = append(all, surgeCase{name: fmt.Sprintf("load %gx", load), load: load, duration: surgeDuration})
 	}
 	return append(all,
-		surgeCase{name: "deep service 10x slower", load: 0.8, length: slowLength, trigger: slowDeep},
-		surgeCase{name: "one customer at 6x", load: 0.9, length: surgeLength, scale: map[int]float64{2: 6}},
-		surgeCase{name: "backend server back cold", load: 0.8, length: surgeLength, trigger: backCold},
-		surgeCase{name: "load endpoint says idle", load: 2, length: surgeLength, trigger: saysIdle},
+		surgeCase{name: "deep service 10x slower", load: 0.8, duration: slowdownDuration, trigger: slowLastService},
+		surgeCase{name: "one customer at 6x", load: 0.9, duration: surgeDuration, customerScale: map[int]float64{2: 6}},
+		surgeCase{name: "backend server back cold", load: 0.8, duration: surgeDuration, trigger: returnCold},
+		surgeCase{name: "load endpoint says idle", load: 2, duration: surgeDuration, trigger: overstateSlots},
 	)
 }
 
 func (c surgeCase) phases() []phase {
 	return []phase{
-		{length: calmLength, load: calmLoad},
-		{length: c.length, load: c.load, scale: c.scale},
-		{length: recoveryLength, load: calmLoad},
+		{duration: baselineDuration, load: baselineLoad},
+		{duration: c.duration, load: c.load, customerScale: c.customerScale},
+		{duration: recoveryDuration, load: baselineLoad},
 	}
 }
 
-// slowDeep makes the last service ten times slower until the surge ends.
-func slowDeep(f *fleet, from, to time.Time) {
+// slowLastService makes the last service ten times slower during the surge.
+func slowLastService(f *fleet, from, to time.Time) {
 	for _, n := range f.nodes["c"] {
-		n.server.slow(func(now time.Time) float64 {
+		n.backend.setSlowness(func(now time.Time) float64 {
 			if now.After(from) && now.Before(to) {
 				return 10
 			}
@@ -56,21 +59,22 @@
 	}
 }
 
-// backCold has one backend server of the last service return after a silence, five times slower at first.
-func backCold(f *fleet, from, to time.Time) {
-	s := f.nodes["c"][0].server
-	s.silent.Store(true)
-	warm := to.Sub(from)
-	s.slow(func(now time.Time) float64 {
-		part := now.Sub(from).Seconds() / warm.Seconds()
-		return 1 + 4*max(0, 1-max(0, part))
+// returnCold stops the announcements of one backend server of the last service until the surge begins. It is then five
+// times slower than usual, and gets back to its usual speed by the end of the surge.
+func returnCold(f *fleet, from, to time.Time) {
+	s := f.nodes["c"][0].backend
+	s.announcePaused.Store(true)
+	warmup := to.Sub(from)
+	s.setSlowness(func(now time.Time) float64 {
+		progress := now.Sub(from).Seconds() / warmup.Seconds()
+		return 1 + 4*max(0, 1-max(0, progress))
 	})
-	time.AfterFunc(time.Until(from), func() { s.silent.Store(false) })
+	time.AfterFunc(time.Until(from), func() { s.announcePaused.Store(false) })
 }
 
-// saysIdle has the last service announce ten times its slots, whatever its load.
-func saysIdle(f *fleet, _, _ time.Time) {
+// overstateSlots makes the backend servers of the last service announce ten times the slots that they have.
+func overstateSlots(f *fleet, _, _ time.Time) {
 	for _, n := range f.nodes["c"] {
-		n.server.claimed.Store(10 * smallSlots)
+		n.backend.announcedSlots.Store(10 * smallSlots)
 	}
 }
--- a/test/surge/fleet.go
+++ b/test/surge/fleet.go
@@ -19,25 +19,29 @@
 	"github.com/figpier/figpier/internal/kernel/registry"
 )
 
-// Sizes of the chain, the brief's scaled down: the last service is the small one.
+// Sizes of the chain, which are those of the brief scaled down.
 const (
-	upstreams     = 2
-	slots         = 14
-	smallSlots    = 3
+	backendsPerService = 2
+	// largeSlots is the number of concurrent requests of a backend server, other than those of the last service.
+	largeSlots = 14
+	// smallSlots is the number for the last service, which is the bottleneck of the chain.
+	smallSlots = 3
+	// serviceTime is how long a backend server works on a request, without the call to the next service.
 	serviceTime   = 40 * time.Millisecond
 	routeDeadline = time.Second
 	treeBudget    = 3
 )
 
-// capacity is the whole requests per second that the last service can run.
-var capacity = upstreams * smallSlots / serviceTime.Seconds()
+// capacity is the number of requests per second that the last service, and so the chain, can serve.
+var capacity = backendsPerService * smallSlots / serviceTime.Seconds()
 
-// policy is a way to decide on calls that is measured.
+// policy is a named configuration of the nodes' policies.
 type policy struct {
 	name string
 	make func(*settings.Settings) process.PolicyConfig
 }
 
+// policies returns the adaptive policies that nodes normally use and the two baselines: fixed slots and no control at all.
 func policies() []policy {
 	return []policy{
 		{name: "figpier", make: process.Adaptive},
@@ -46,26 +50,31 @@
 	}
 }
 
-// fleet is a control instance and the nodes of a chain inside this process.
+// fleet is a control instance and the nodes of the chain, all running inside this process.
 type fleet struct {
-	ctx      context.Context
-	stop     context.CancelFunc
-	folder   string
-	policy   policy
-	log      *logrus.Entry
-	done     []chan struct{}
-	nodes    map[string][]*node
-	control  *registry.Kernel
-	messages string
+	ctx    context.Context
+	stop   context.CancelFunc
+	folder string
+	policy policy
+	log    *logrus.Entry
+	// kernelsDone has a channel for each kernel, closed when its Run has returned.
+	kernelsDone []chan struct{}
+	// nodes holds the nodes of each service by the service's name.
+	nodes   map[string][]*node
+	control *registry.Kernel
+	// controlAddress is the message address of the control instance.
+	controlAddress string
 }
 
 // node is a node with its stand-in backend server.
 type node struct {
-	kernel  *registry.Kernel
-	callers string
-	server  *server
+	kernel *registry.Kernel
+	// callerAddress is where the node accepts requests of callers.
+	callerAddress string
+	backend       *backendServer
 }
 
+// newFleet starts and configures the control instance. startNodes adds the nodes.
 func newFleet(p policy) (*fleet, error) {
 	folder, err := os.MkdirTemp("", "surge")
 	if err != nil {
@@ -82,18 +91,19 @@
 	return f, nil
 }
 
+// close stops all kernels, waits for them and deletes the fleet's folder.
 func (f *fleet) close() {
 	f.stop()
-	for _, d := range f.done {
+	for _, d := range f.kernelsDone {
 		<-d
 	}
 	_ = os.RemoveAll(f.folder)
 }
 
-// run runs a kernel until the fleet is closed.
+// run runs a kernel in the background until the fleet is closed. The kernel stops without a grace time.
 func (f *fleet) run(k *registry.Kernel) {
 	done := make(chan struct{})
-	f.done = append(f.done, done)
+	f.kernelsDone = append(f.kernelsDone, done)
 	go func() {
 		defer close(done)
 		_ = k.Run(f.ctx, func() (context.Context, context.CancelFunc) {
@@ -110,13 +120,13 @@
 	if err := os.WriteFile(tokens, []byte(hex.EncodeToString(digest[:])+" surge\n"), 0o600); err != nil {
 		return err
 	}
-	f.messages = freeAddress()
+	f.controlAddress = freeAddress()
 	operators := freeAddress()
 	text := fmt.Sprintf(`{
 		"instance": "c1", "dataCentre": "dc1", "region": "north", "messages": %q, "metrics": %q,
 		"control": {"dataFolder": %q, "operators": %q, "operatorTokens": %q,
 			"replicas": [{"instance": "c1", "address": %q}]},
-	}`, f.messages, freeAddress(), f.folder, operators, tokens, f.messages)
+	}`, f.controlAddress, freeAddress(), f.folder, operators, tokens, f.controlAddress)
 	s, err := settings.Parse("control", []byte(text))
 	if err != nil {
 		return err
@@ -130,7 +140,8 @@
 	return f.configure()
 }
 
-// awaitListener waits until something listens on an address, which the control instance starts last.
+// awaitListener waits until an address accepts connections. The operator API, which it is used for, is the last listener
+// that a control instance starts.
 func awaitListener(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -142,7 +153,7 @@
 	}
 }
 
-// configure gives each service the profile and each customer its key.
+// configure assigns one profile to all services and gives each customer a key.
 func (f *fleet) configure() error {
 	catalog, err := figpier.FindCatalog(f.control)
 	if err != nil {
@@ -151,14 +162,14 @@
 	p := figpier.NewProfile(figpier.ProfileConfig{
 		Name: "surge",
 		Routes: []*figpier.Route{
-			figpier.NewRoute(figpier.RouteConfig{Method: "*", Path: importantPath, Priority: 0, Idempotent: true, Deadline: routeDeadline}),
+			figpier.NewRoute(figpier.RouteConfig{Method: "*", Path: highPriorityPath, Priority: 0, Idempotent: true, Deadline: routeDeadline}),
 			figpier.NewRoute(figpier.RouteConfig{Method: "*", Path: "/*", Priority: 3, Idempotent: true, Deadline: routeDeadline}),
 		},
 		DefaultLimit: figpier.NewLimit(figpier.LimitConfig{Rate: 1e6, Burst: 1e6}),
 		Retry:        figpier.NewRetryPolicy(figpier.RetryConfig{TreeBudget: treeBudget, Share: 0.1}),
 	})
 	edits := []figpier.EditConfig{{Kind: figpier.EditApplyProfile, Profile: p}}
-	for _, s := range chain {
+	for _, s := range chainServices {
 		edits = append(edits, figpier.EditConfig{Kind: figpier.EditAssign, Service: figpier.UpstreamService(s), ProfileName: "surge"})
 	}
 	for _, c := range customers {
@@ -174,7 +185,8 @@
 	return nil
 }
 
-// submit repeats an edit under its operation id until the control instance takes edits.
+// submit submits an edit until it is accepted, for up to ten seconds: the control instance can't accept edits right after
+// its start. The operation id makes repeats safe.
 func (f *fleet) submit(catalog figpier.Catalog, e *figpier.Edit) error {
 	ctx, cancel := context.WithTimeout(f.ctx, 10*time.Second)
 	defer cancel()
@@ -189,16 +201,17 @@
 	}
 }
 
-// startNodes starts the nodes of a service with their backend servers.
+// startNodes starts the nodes and backend servers of a service. Next is the service that it calls, empty for none, and
+// slots the number of concurrent requests of each backend server.
 func (f *fleet) startNodes(service, next string, slots int) error {
-	for i := range upstreams {
+	for i := range backendsPerService {
 		name := fmt.Sprint(service, i)
-		n := &node{callers: freeAddress()}
+		n := &node{callerAddress: freeAddress()}
 		announcements := freeAddress()
 		text := fmt.Sprintf(`{
 			"instance": %q, "dataCentre": "dc1", "region": "north", "messages": %q, "metrics": %q,
 			"node": {"service": %q, "callers": %q, "peers": %q, "backend": %q, "controls": [%q]},
-		}`, name, freeAddress(), freeAddress(), service, n.callers, freeAddress(), announcements, f.messages)
+		}`, name, freeAddress(), freeAddress(), service, n.callerAddress, freeAddress(), announcements, f.controlAddress)
 		s, err := settings.Parse(name, []byte(text))
 		if err != nil {
 			return err
@@ -207,8 +220,8 @@
 			return err
 		}
 		f.run(n.kernel)
-		n.server = newServer(serverConfig{Node: announcements, Next: next, Slots: slots})
-		if err := n.server.start(f.ctx); err != nil {
+		n.backend = newBackendServer(backendConfig{NodeAddress: announcements, NextService: next, Slots: slots})
+		if err := n.backend.start(f.ctx); err != nil {
 			return err
 		}
 		f.nodes[service] = append(f.nodes[service], n)
@@ -216,6 +229,7 @@
 	return nil
 }
 
+// pause waits for d or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/test/surge/main.go
+++ b/test/surge/main.go
@@ -9,32 +9,33 @@
 )
 
 func main() {
-	names := []string{}
-	only := kingpin.Flag("case", "Run only the cases whose name has this text.").String()
-	kingpin.Flag("policy", "Run only these policies.").StringsVar(&names)
+	policyNames := []string{}
+	caseFilter := kingpin.Flag("case", "Run only the cases whose name contains this text.").String()
+	kingpin.Flag("policy", "Run only this policy; may be repeated.").StringsVar(&policyNames)
 	kingpin.Parse()
-	if err := run(*only, names); err != nil {
+	if err := run(*caseFilter, policyNames); err != nil {
 		log.Fatal(err)
 	}
 }
 
-func run(only string, names []string) error {
-	fmt.Println(tableHead)
-	best := map[string]float64{}
+// run measures each selected case under each selected policy and prints a row of the table for each.
+func run(caseFilter string, policyNames []string) error {
+	fmt.Println(tableHeader)
+	peakGoodput := map[string]float64{}
 	for _, c := range cases() {
-		if !strings.Contains(c.name, only) {
+		if !strings.Contains(c.name, caseFilter) {
 			continue
 		}
 		for _, p := range policies() {
-			if len(names) > 0 && !contains(names, p.name) {
+			if len(policyNames) > 0 && !contains(policyNames, p.name) {
 				continue
 			}
 			r, err := measure(c, p)
 			if err != nil {
 				return err
 			}
-			best[p.name] = max(best[p.name], r.goodput())
-			fmt.Println(r.row(best[p.name]))
+			peakGoodput[p.name] = max(peakGoodput[p.name], r.goodput())
+			fmt.Println(r.tableRow(peakGoodput[p.name]))
 		}
 	}
 	return nil
--- a/test/surge/report.go
+++ b/test/surge/report.go
@@ -10,34 +10,38 @@
 	"github.com/figpier/figpier"
 )
 
-const tableHead = `| case | policy | offered/s | goodput/s | of peak | recovery s | worst customer | important lost | wrongful | wasted work | attempts/request | most runs of a tree |
+// tableHeader is the Markdown header of the rows that tableRow returns.
+const tableHeader = `| case | policy | offered/s | goodput/s | of peak | recovery s | worst customer | important lost | wrongful | wasted work | attempts/request | most runs of a tree |
 |---|---|---|---|---|---|---|---|---|---|---|---|`
 
-// Bounds of what counts as recovered.
+// Thresholds of the report.
 const (
+	// recoveryBucket is the time resolution of recoveryTime.
 	recoveryBucket = 200 * time.Millisecond
-	recoveredShare = 0.9
-	usableShare    = 0.9
+	// minServedShare is the share of a bucket's requests that must be served for it to count as recovered.
+	minServedShare = 0.9
+	// usableCapacityShare is the share of the capacity that wrongfulLossShare expects the policy to use.
+	usableCapacityShare = 0.9
 )
 
-// result is what one case did under one policy.
+// result is the record of one case under one policy.
 type result struct {
-	c      surgeCase
-	policy string
-	record *record
+	surgeCase surgeCase
+	policy    string
+	record    *record
 }
 
-// measure runs one case under one policy.
+// measure runs one case under one policy, with a fleet of its own.
 func measure(c surgeCase, p policy) (*result, error) {
 	f, err := newFleet(p)
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
-	for i, s := range chain {
+	for i, s := range chainServices {
 		next, n := "", smallSlots
-		if i+1 < len(chain) {
-			next, n = chain[i+1], slots
+		if i+1 < len(chainServices) {
+			next, n = chainServices[i+1], largeSlots
 		}
 		if err := f.startNodes(s, next, n); err != nil {
 			return nil, err
@@ -45,26 +49,26 @@
 	}
 	var entries []string
 	for _, n := range f.nodes["a"] {
-		entries = append(entries, n.callers)
+		entries = append(entries, n.callerAddress)
 	}
-	if err := f.await(entries); err != nil {
+	if err := f.awaitServing(entries); err != nil {
 		return nil, err
 	}
 	r := newRecord()
 	for _, all := range f.nodes {
 		for _, n := range all {
-			n.server.record.Store(r)
+			n.backend.record.Store(r)
 		}
 	}
 	if c.trigger != nil {
-		c.trigger(f, r.began.Add(calmLength), r.began.Add(calmLength+c.length))
+		c.trigger(f, r.started.Add(baselineDuration), r.started.Add(baselineDuration+c.duration))
 	}
 	newGenerator(r, entries).run(f.ctx, c.phases())
-	return &result{c: c, policy: p.name, record: r}, nil
+	return &result{surgeCase: c, policy: p.name, record: r}, nil
 }
 
-// await waits until each entry serves whole requests one after the other.
-func (f *fleet) await(entries []string) error {
+// awaitServing waits until each entry node has served five requests.
+func (f *fleet) awaitServing(entries []string) error {
 	ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 	defer cancel()
 	for _, e := range entries {
@@ -74,7 +78,7 @@
 				return err
 			}
 			r.Header.Set(figpier.HeaderKey, customers[0])
-			answer, err := http.DefaultClient.Do(r)
+			response, err := http.DefaultClient.Do(r)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
@@ -82,8 +86,8 @@
 				pause(ctx, 50*time.Millisecond)
 				continue
 			}
-			_ = answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				served++
 				continue
 			}
@@ -93,37 +97,40 @@
 	return nil
 }
 
-// surge calls a function for each request of the surge, but for its first second.
-func (r *result) surge(f func(*request)) {
+// eachSurgeRequest calls f for each request sent during the surge, apart from its first second.
+func (r *result) eachSurgeRequest(f func(*request)) {
 	for _, q := range r.record.requests {
-		if q.at >= calmLength+time.Second && q.at < calmLength+r.c.length {
+		if q.sentAfter >= baselineDuration+time.Second && q.sentAfter < baselineDuration+r.surgeCase.duration {
 			f(q)
 		}
 	}
 }
 
-func (r *result) seconds() float64 { return (r.c.length - time.Second).Seconds() }
+// surgeSeconds returns the length in seconds of the part of the surge that eachSurgeRequest covers.
+func (r *result) surgeSeconds() float64 { return (r.surgeCase.duration - time.Second).Seconds() }
 
+// goodput returns the requests served per second during the surge.
 func (r *result) goodput() float64 {
 	served := 0
-	r.surge(func(q *request) {
+	r.eachSurgeRequest(func(q *request) {
 		if q.served {
 			served++
 		}
 	})
-	return float64(served) / r.seconds()
+	return float64(served) / r.surgeSeconds()
 }
 
-// recovery returns the time from the end of the surge to the last bucket in which requests were lost.
-func (r *result) recovery() time.Duration {
+// recoveryTime returns the time from the end of the surge to the end of the last bucket in which less than minServedShare
+// of the requests were served.
+func (r *result) recoveryTime() time.Duration {
 	type count struct{ all, served int }
 	buckets := map[int]*count{}
-	end := calmLength + r.c.length
+	end := baselineDuration + r.surgeCase.duration
 	for _, q := range r.record.requests {
-		if q.at < end {
+		if q.sentAfter < end {
 			continue
 		}
-		k := int((q.at - end) / recoveryBucket)
+		k := int((q.sentAfter - end) / recoveryBucket)
 		if buckets[k] == nil {
 			buckets[k] = &count{}
 		}
@@ -134,25 +141,25 @@
 	}
 	last := time.Duration(0)
 	for k, b := range buckets {
-		if float64(b.served) < recoveredShare*float64(b.all) {
+		if float64(b.served) < minServedShare*float64(b.all) {
 			last = max(last, time.Duration(k+1)*recoveryBucket)
 		}
 	}
 	return last
 }
 
-// fairness returns the least part that a customer got of its max-min fair share of the ordinary requests that were served,
-// 0 where none were.
-func (r *result) fairness() float64 {
-	asked, got := make([]float64, len(customers)), make([]float64, len(customers))
+// worstFairShare divides the ordinary requests served of each customer by the customer's max-min fair share of all that
+// were served, and returns the lowest quotient, at most 1. It returns 0 if none were served.
+func (r *result) worstFairShare() float64 {
+	requested, served := make([]float64, len(customers)), make([]float64, len(customers))
 	total := 0.0
-	r.surge(func(q *request) {
-		if q.important {
+	r.eachSurgeRequest(func(q *request) {
+		if q.highPriority {
 			return
 		}
-		asked[q.customer]++
+		requested[q.customer]++
 		if q.served {
-			got[q.customer]++
+			served[q.customer]++
 			total++
 		}
 	})
@@ -160,34 +167,35 @@
 		return 0
 	}
 	worst := 1.0
-	for i, due := range maxMin(asked, total) {
-		if due > 0 {
-			worst = min(worst, got[i]/due)
+	for i, fairShare := range maxMinShares(requested, total) {
+		if fairShare > 0 {
+			worst = min(worst, served[i]/fairShare)
 		}
 	}
 	return worst
 }
 
-// maxMin splits a total so that nobody gets more than asked and the least served get as much as they can.
-func maxMin(asked []float64, total float64) []float64 {
-	order := make([]int, len(asked))
-	for i := range order {
-		order[i] = i
+// maxMinShares splits a total into max-min fair shares: no share exceeds what was requested, and no share can grow without
+// taking from one that is no larger.
+func maxMinShares(requested []float64, total float64) []float64 {
+	byRequested := make([]int, len(requested))
+	for i := range byRequested {
+		byRequested[i] = i
 	}
-	sort.Slice(order, func(i, k int) bool { return asked[order[i]] < asked[order[k]] })
-	due := make([]float64, len(asked))
-	for n, i := range order {
-		due[i] = min(asked[i], total/float64(len(order)-n))
-		total -= due[i]
+	sort.Slice(byRequested, func(i, k int) bool { return requested[byRequested[i]] < requested[byRequested[k]] })
+	shares := make([]float64, len(requested))
+	for n, i := range byRequested {
+		shares[i] = min(requested[i], total/float64(len(byRequested)-n))
+		total -= shares[i]
 	}
-	return due
+	return shares
 }
 
-// lost returns the part of the requests, among those that meet a condition, that were not served.
-func (r *result) lost(meets func(*request) bool) float64 {
+// lostShare returns the share of the matching requests that were not served, or 0 if none match.
+func (r *result) lostShare(matches func(*request) bool) float64 {
 	all, lost := 0, 0
-	r.surge(func(q *request) {
-		if !meets(q) {
+	r.eachSurgeRequest(func(q *request) {
+		if !matches(q) {
 			return
 		}
 		all++
@@ -201,20 +209,21 @@
 	return float64(lost) / float64(all)
 }
 
-// wrongful returns the part that was lost of the requests of customers that asked for no more than their max-min fair share
-// of nine tenths of the capacity, or "-" where the backend servers themselves had less than their capacity.
-func (r *result) wrongful() string {
-	if r.c.trigger != nil {
+// wrongfulLossShare returns the share of requests lost by customers that requested no more than their max-min fair share
+// of the usable capacity. It returns "-" for cases with a trigger, in which the backend servers don't have their usual
+// capacity or misstate it.
+func (r *result) wrongfulLossShare() string {
+	if r.surgeCase.trigger != nil {
 		return "-"
 	}
-	asked := make([]float64, len(customers))
-	r.surge(func(q *request) { asked[q.customer]++ })
-	due := maxMin(asked, usableShare*capacity*r.seconds())
-	return percent(r.lost(func(q *request) bool { return asked[q.customer] <= due[q.customer] }))
+	requested := make([]float64, len(customers))
+	r.eachSurgeRequest(func(q *request) { requested[q.customer]++ })
+	fairShares := maxMinShares(requested, usableCapacityShare*capacity*r.surgeSeconds())
+	return percent(r.lostShare(func(q *request) bool { return requested[q.customer] <= fairShares[q.customer] }))
 }
 
-// work returns the part of all runs that belonged to attempts that failed, and the most runs of one attempt.
-func (r *result) work() (wasted float64, most int) {
+// workSummary returns the share of all executions that belonged to failed attempts, and the most executions of one attempt.
+func (r *result) workSummary() (wasted float64, most int) {
 	all, lost := 0, 0
 	for i := range r.record.attempts {
 		a := &r.record.attempts[i]
@@ -231,22 +240,24 @@
 	return float64(lost) / float64(all), most
 }
 
-func (r *result) attempts() float64 {
+// attemptsPerRequest returns the mean number of attempts of the requests of the surge.
+func (r *result) attemptsPerRequest() float64 {
 	all, made := 0, 0
-	r.surge(func(q *request) {
+	r.eachSurgeRequest(func(q *request) {
 		all++
 		made += q.attempts
 	})
 	return float64(made) / float64(max(1, all))
 }
 
-func (r *result) row(best float64) string {
+// tableRow returns the row of the table. Peak is the policy's highest goodput in the cases so far.
+func (r *result) tableRow(peak float64) string {
 	offered := 0
-	r.surge(func(*request) { offered++ })
-	wasted, most := r.work()
+	r.eachSurgeRequest(func(*request) { offered++ })
+	wasted, maxRuns := r.workSummary()
 	return fmt.Sprintf("| %s | %s | %.0f | %.0f | %.2f | %.1f | %.2f | %s | %s | %s | %.2f | %d |",
-		r.c.name, r.policy, float64(offered)/r.seconds(), r.goodput(), r.goodput()/best, r.recovery().Seconds(), r.fairness(),
-		percent(r.lost(func(q *request) bool { return q.important })), r.wrongful(), percent(wasted), r.attempts(), most)
+		r.surgeCase.name, r.policy, float64(offered)/r.surgeSeconds(), r.goodput(), r.goodput()/peak, r.recoveryTime().Seconds(), r.worstFairShare(),
+		percent(r.lostShare(func(q *request) bool { return q.highPriority })), r.wrongfulLossShare(), percent(wasted), r.attemptsPerRequest(), maxRuns)
 }
 
-func percent(part float64) string { return fmt.Sprintf("%.2f %%", 100*part) }
+func percent(share float64) string { return fmt.Sprintf("%.2f %%", 100*share) }
--- a/test/surge/server.go
+++ b/test/surge/server.go
@@ -16,80 +16,87 @@
 	"github.com/figpier/figpier"
 )
 
-// Names of the chain.
+// Paths of requests, and the time between two announcements of a backend server.
 const (
-	importantPath = "/hold"
-	ordinaryPath  = "/browse"
-	announceEvery = 300 * time.Millisecond
+	highPriorityPath = "/hold"
+	ordinaryPath     = "/browse"
+	announceInterval = 300 * time.Millisecond
 )
 
-var chain = []string{"a", "b", "c"}
+// chainServices are the services of the chain; each calls the one after it.
+var chainServices = []string{"a", "b", "c"}
 
-// serverConfig builds a server.
-type serverConfig struct {
-	// Node is the address for announcements and exit calls.
-	Node string
-	// Next is the service that each request calls, empty for none.
-	Next string
-	// Slots is the number of requests that run at once; more wait inside.
+// backendConfig configures a backendServer.
+type backendConfig struct {
+	// NodeAddress is the node's listener for the backend server's announcements and outgoing calls.
+	NodeAddress string
+	// NextService is the service that each request calls, empty for none.
+	NextService string
+	// Slots is the number of requests that are executed at once; others wait in the server.
 	Slots int
 }
 
-// server is a stand-in backend server: it keeps a slot through its own work and its call to the next service.
-type server struct {
-	config   serverConfig
-	listener net.Listener
-	http     *http.Server
-	exits    *http.Client
-	slots    chan struct{}
-	claimed  atomic.Int64
-	silent   atomic.Bool
+// backendServer is a stand-in backend server. A request holds a slot during its own work and the call to the next service.
+type backendServer struct {
+	config     backendConfig
+	listener   net.Listener
+	httpServer *http.Server
+	exitClient *http.Client
+	// slots is a semaphore with the capacity Slots.
+	slots chan struct{}
+	// announcedSlots is the number of slots in announcements, which a case may make differ from Slots.
+	announcedSlots atomic.Int64
+	// announcePaused suspends the announcements.
+	announcePaused atomic.Bool
+	// slowness returns the factor by which serviceTime is multiplied; nil means 1.
 	slowness atomic.Pointer[func(time.Time) float64]
-	record   atomic.Pointer[record]
+	// record counts executions; nil before the measurement starts.
+	record atomic.Pointer[record]
 }
 
-func newServer(c serverConfig) *server {
-	proxy := &url.URL{Scheme: "http", Host: c.Node}
-	s := &server{
+func newBackendServer(c backendConfig) *backendServer {
+	proxy := &url.URL{Scheme: "http", Host: c.NodeAddress}
+	s := &backendServer{
 		config: c,
 		slots:  make(chan struct{}, c.Slots),
-		exits: &http.Client{Transport: &http.Transport{
+		exitClient: &http.Client{Transport: &http.Transport{
 			Proxy:               http.ProxyURL(proxy),
 			MaxIdleConnsPerHost: 1024,
 		}},
 	}
-	s.claimed.Store(int64(c.Slots))
+	s.announcedSlots.Store(int64(c.Slots))
 	return s
 }
 
-func (s *server) start(ctx context.Context) (err error) {
+// start listens on a free port, and serves and announces itself until the context ends.
+func (s *backendServer) start(ctx context.Context) (err error) {
 	s.listener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	s.http = &http.Server{Handler: s, ReadHeaderTimeout: time.Second}
-	go func() { _ = s.http.Serve(s.listener) }()
+	s.httpServer = &http.Server{Handler: s, ReadHeaderTimeout: time.Second}
+	go func() { _ = s.httpServer.Serve(s.listener) }()
 	go s.announce(ctx)
-	context.AfterFunc(ctx, func() { _ = s.http.Close() })
+	context.AfterFunc(ctx, func() { _ = s.httpServer.Close() })
 	return nil
 }
 
-// announce repeats the announcement, which serves as the load endpoint too: it never tells of any load.
-func (s *server) announce(ctx context.Context) {
+// announce repeats the announcement until the context ends. It takes the place of a load endpoint too, and reports no load.
+func (s *backendServer) announce(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !s.silent.Load() {
-			s.tell(ctx)
+		if !s.announcePaused.Load() {
+			s.announceOnce(ctx)
 		}
-		pause(ctx, announceEvery)
+		pause(ctx, announceInterval)
 	}
 }
 
-func (s *server) tell(ctx context.Context) {
-	body, err := json.Marshal(map[string]any{"address": s.listener.Addr().String(), "slots": s.claimed.Load()})
+func (s *backendServer) announceOnce(ctx context.Context) {
+	body, err := json.Marshal(map[string]any{"address": s.listener.Addr().String(), "slots": s.announcedSlots.Load()})
 	if err != nil {
 		return
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.config.Node+"/figpier/announce", bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.config.NodeAddress+"/figpier/announce", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -98,10 +105,10 @@
 	}
 }
 
-// slow changes how many times longer than usual a request takes.
-func (s *server) slow(f func(time.Time) float64) { s.slowness.Store(&f) }
+// setSlowness sets the function that returns how many times longer than serviceTime a request takes.
+func (s *backendServer) setSlowness(f func(time.Time) float64) { s.slowness.Store(&f) }
 
-func (s *server) work() time.Duration {
+func (s *backendServer) currentServiceTime() time.Duration {
 	f := s.slowness.Load()
 	if f == nil {
 		return serviceTime
@@ -109,41 +116,43 @@
 	return time.Duration((*f)(time.Now()) * float64(serviceTime))
 }
 
-// ServeHTTP implements http.Handler.
-func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP waits for a slot, works for the current service time and calls the next service, if there is one.
+func (s *backendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.slots <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
 	defer func() { <-s.slots }()
-	s.ran(r)
-	pause(r.Context(), s.work())
+	s.recordRun(r)
+	pause(r.Context(), s.currentServiceTime())
 	if r.Context().Err() != nil {
 		return
 	}
-	if s.config.Next == "" {
+	if s.config.NextService == "" {
 		_, _ = fmt.Fprintln(w, "done")
 		return
 	}
-	s.call(w, r)
+	s.callNext(w, r)
 }
 
-func (s *server) ran(r *http.Request) {
+// recordRun counts the execution for the attempt whose id is in the query.
+func (s *backendServer) recordRun(r *http.Request) {
 	id, err := strconv.Atoi(r.URL.Query().Get("attempt"))
 	if rec := s.record.Load(); err == nil && rec != nil {
-		rec.ran(id)
+		rec.countRun(id)
 	}
 }
 
-func (s *server) call(w http.ResponseWriter, r *http.Request) {
-	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+s.config.Next+figpier.ExitSuffix+r.URL.RequestURI(), nil)
+// callNext calls the next service through the node and answers with the status of its answer.
+func (s *backendServer) callNext(w http.ResponseWriter, r *http.Request) {
+	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+s.config.NextService+figpier.ExitSuffix+r.URL.RequestURI(), nil)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	out.Header.Set(figpier.HeaderCall, r.Header.Get(figpier.HeaderCall))
-	answer, err := s.exits.Do(out)
+	answer, err := s.exitClient.Do(out)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
@@ -153,13 +162,16 @@
 	_, _ = fmt.Fprintln(w, "passed on")
 }
 
-var addresses atomic.Int64
+// addressCount is the number of addresses that freeAddress has returned.
+var addressCount atomic.Int64
 
-// freeAddress returns a loopback address that nothing else in this process listens on.
+// freeAddress returns a loopback address and port that nothing else in this process uses; the id of the process keeps it
+// apart from those of other processes.
 func freeAddress() string {
-	n := addresses.Add(1)
+	n := addressCount.Add(1)
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8%64, 1+pid%250, 1+n%250, firstPort+n)
 }
 
+// firstPort is the number below the first port that freeAddress returns.
 const firstPort = 20_000
