--- a/test/backend/doc.go
+++ b/test/backend/doc.go
@@ -1,2 +1,3 @@
-// Command backend is a stand-in backend server for tests: it announces itself, counts what it runs and calls on through its node.
+// Command backend is a stand-in backend server for tests. It announces itself to its node, counts the requests it executes
+// and can call another service through the node.
 package main
--- a/test/backend/main.go
+++ b/test/backend/main.go
@@ -21,36 +21,42 @@
 	"github.com/figpier/figpier"
 )
 
-// announceEvery is the pause between two announcements.
-const announceEvery = 300 * time.Millisecond
+// announceInterval is the time between two announcements to the node.
+const announceInterval = 300 * time.Millisecond
 
-// server is one backend server.
-type server struct {
+// backendServer holds the flags and the counters of the stand-in.
+type backendServer struct {
 	address string
-	node    string
-	slots   int
-	work    time.Duration
-	next    string
-	// nextAddress takes the place of next for measurements without nodes.
+	// nodeAddress is the node's listener for announcements and outgoing calls.
+	nodeAddress string
+	slots       int
+	serviceTime time.Duration
+	// nextService is the service that /chain calls through the node.
+	nextService string
+	// nextAddress is the address that /chain calls instead of nextService, for measurements without nodes.
 	nextAddress string
-	runs        atomic.Int64
-	sawKey      atomic.Bool
-	byKey       sync.Map
-	exits       *http.Client
-	mute        bool
-	draining    atomic.Bool
+	// runs counts the requests executed, without /count and /drain.
+	runs atomic.Int64
+	// sawCallerKey is set if a request ever carried the caller's key, which nodes must remove.
+	sawCallerKey atomic.Bool
+	// runsByIdempotencyKey maps each idempotency key, a string, to an *atomic.Int64 that counts its executions.
+	runsByIdempotencyKey sync.Map
+	// exitClient sends the calls of /chain.
+	exitClient      *http.Client
+	noAnnouncements bool
+	draining        atomic.Bool
 }
 
 func main() {
-	s := &server{}
+	s := &backendServer{}
 	app := kingpin.New("backend", "A stand-in backend server.")
 	app.Flag("address", "IP address and port to listen on.").Required().StringVar(&s.address)
-	app.Flag("node", "Address of the node's listener for this backend server.").Required().StringVar(&s.node)
-	app.Flag("slots", "Requests that it says it runs at once.").Default("16").IntVar(&s.slots)
-	app.Flag("work", "Time that each request takes.").Default("0s").DurationVar(&s.work)
-	app.Flag("next", "Service that /chain calls.").StringVar(&s.next)
-	app.Flag("mute", "Announce nothing to the node.").BoolVar(&s.mute)
-	app.Flag("next-address", "Address that /chain calls without a node, in place of a service.").StringVar(&s.nextAddress)
+	app.Flag("node", "Address of the node's listener for this backend server.").Required().StringVar(&s.nodeAddress)
+	app.Flag("slots", "Number of concurrent requests to announce.").Default("16").IntVar(&s.slots)
+	app.Flag("work", "Time that each request takes before it is answered.").Default("0s").DurationVar(&s.serviceTime)
+	app.Flag("next", "Service that /chain calls.").StringVar(&s.nextService)
+	app.Flag("mute", "Send no announcements to the node.").BoolVar(&s.noAnnouncements)
+	app.Flag("next-address", "Address that /chain calls directly, without a node; overrides --next.").StringVar(&s.nextAddress)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -59,14 +65,15 @@
 	}
 }
 
-func (s *server) run(ctx context.Context) error {
-	proxy := &url.URL{Scheme: "http", Host: s.node}
-	exits := &http.Transport{MaxIdleConnsPerHost: 256}
+// run serves and announces the backend server until the context ends.
+func (s *backendServer) run(ctx context.Context) error {
+	proxy := &url.URL{Scheme: "http", Host: s.nodeAddress}
+	transport := &http.Transport{MaxIdleConnsPerHost: 256}
 	if s.nextAddress == "" {
-		exits.Proxy = http.ProxyURL(proxy)
+		transport.Proxy = http.ProxyURL(proxy)
 	}
-	s.exits = &http.Client{Transport: exits}
-	if !s.mute {
+	s.exitClient = &http.Client{Transport: transport}
+	if !s.noAnnouncements {
 		go s.announce(ctx)
 	}
 	h := &http.Server{Addr: s.address, Handler: s.handler(), ReadHeaderTimeout: time.Second}
@@ -74,8 +81,9 @@
 	return h.ListenAndServe()
 }
 
-func (s *server) announce(ctx context.Context) {
-	tick := time.NewTicker(announceEvery)
+// announce repeats the announcement until the context ends; it pauses while the server drains.
+func (s *backendServer) announce(ctx context.Context) {
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	for {
 		if !s.draining.Load() {
@@ -89,16 +97,17 @@
 	}
 }
 
-func (s *server) announceOnce(ctx context.Context) {
+func (s *backendServer) announceOnce(ctx context.Context) {
 	body, err := json.Marshal(map[string]any{"address": s.address, "slots": s.slots})
 	if err != nil {
 		return
 	}
-	s.tell(ctx, "/figpier/announce", body)
+	s.postToNode(ctx, "/figpier/announce", body)
 }
 
-func (s *server) tell(ctx context.Context, path string, body []byte) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.node+path, bytes.NewReader(body))
+// postToNode posts a body to a path of the node. Failures are ignored; a lost announcement is repeated, a lost drain is not.
+func (s *backendServer) postToNode(ctx context.Context, path string, body []byte) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.nodeAddress+path, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -108,54 +117,58 @@
 	}
 }
 
-func (s *server) handler() http.Handler {
+func (s *backendServer) handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("/count", s.count)
-	m.HandleFunc("/drain", s.drain)
-	m.HandleFunc("/chain", s.counted(s.chain))
-	m.HandleFunc("/stream", s.counted(s.stream))
-	m.HandleFunc("/", s.counted(s.echo))
+	m.HandleFunc("/count", s.handleCount)
+	m.HandleFunc("/drain", s.handleDrain)
+	m.HandleFunc("/chain", s.withAccounting(s.handleChain))
+	m.HandleFunc("/stream", s.withAccounting(s.handleStream))
+	m.HandleFunc("/", s.withAccounting(s.handleEcho))
 	return m
 }
 
-// counted counts a run, notes a key that must not be here, and takes the configured time.
-func (s *server) counted(f http.HandlerFunc) http.HandlerFunc {
+// withAccounting counts the execution, records whether the request carries the caller's key, and waits for the service time
+// before it calls next.
+func (s *backendServer) withAccounting(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.runs.Add(1)
 		if k := r.Header.Get(figpier.HeaderIdempotencyKey); k != "" {
-			n, _ := s.byKey.LoadOrStore(k, &atomic.Int64{})
+			n, _ := s.runsByIdempotencyKey.LoadOrStore(k, &atomic.Int64{})
 			n.(*atomic.Int64).Add(1)
 		}
 		if r.Header.Get(figpier.HeaderKey) != "" {
-			s.sawKey.Store(true)
+			s.sawCallerKey.Store(true)
 		}
-		t := time.NewTimer(s.work)
+		t := time.NewTimer(s.serviceTime)
 		defer t.Stop()
 		select {
 		case <-t.C:
 		case <-r.Context().Done():
 			return
 		}
-		f(w, r)
+		next(w, r)
 	}
 }
 
-func (s *server) count(w http.ResponseWriter, _ *http.Request) {
+// handleCount returns the counters as JSON.
+func (s *backendServer) handleCount(w http.ResponseWriter, _ *http.Request) {
 	byKey := map[string]int64{}
-	s.byKey.Range(func(k, n any) bool {
+	s.runsByIdempotencyKey.Range(func(k, n any) bool {
 		byKey[k.(string)] = n.(*atomic.Int64).Load()
 		return true
 	})
-	_ = json.NewEncoder(w).Encode(map[string]any{"runs": s.runs.Load(), "sawKey": s.sawKey.Load(), "byKey": byKey})
+	_ = json.NewEncoder(w).Encode(map[string]any{"runs": s.runs.Load(), "sawKey": s.sawCallerKey.Load(), "byKey": byKey})
 }
 
-func (s *server) drain(w http.ResponseWriter, r *http.Request) {
+// handleDrain stops the announcements and tells the node that the server drains.
+func (s *backendServer) handleDrain(w http.ResponseWriter, r *http.Request) {
 	s.draining.Store(true)
-	s.tell(r.Context(), "/figpier/drain", nil)
+	s.postToNode(r.Context(), "/figpier/drain", nil)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *server) echo(w http.ResponseWriter, r *http.Request) {
+// handleEcho sends the request body back as it arrives, followed by its length in the trailer X-Length.
+func (s *backendServer) handleEcho(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	w.Header().Set("Trailer", "X-Length")
 	n, err := io.Copy(w, r.Body)
@@ -165,9 +178,9 @@
 	w.Header().Set("X-Length", strconv.FormatInt(n, 10))
 }
 
-// stream writes a line every tenth of a second until the caller is gone.
-func (s *server) stream(w http.ResponseWriter, r *http.Request) {
-	tick := time.NewTicker(announceEvery / 3)
+// handleStream writes a line every 100 ms until the caller disconnects.
+func (s *backendServer) handleStream(w http.ResponseWriter, r *http.Request) {
+	tick := time.NewTicker(announceInterval / 3)
 	defer tick.Stop()
 	for {
 		if _, err := w.Write([]byte("tick\n")); err != nil {
@@ -182,16 +195,18 @@
 	}
 }
 
-// target returns the start of the URL that /chain calls.
-func (s *server) target() string {
+// nextURL returns the URL, without a path, that /chain calls.
+func (s *backendServer) nextURL() string {
 	if s.nextAddress != "" {
 		return "http://" + s.nextAddress
 	}
-	return "http://" + s.next + figpier.ExitSuffix
+	return "http://" + s.nextService + figpier.ExitSuffix
 }
 
-func (s *server) chain(w http.ResponseWriter, r *http.Request) {
-	target := s.target() + r.URL.Query().Get("then")
+// handleChain calls the path in the parameter "then" at the next service, with the request's method and body, and passes
+// the answer on.
+func (s *backendServer) handleChain(w http.ResponseWriter, r *http.Request) {
+	target := s.nextURL() + r.URL.Query().Get("then")
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, target, r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -201,26 +216,26 @@
 	if k := r.Header.Get(figpier.HeaderIdempotencyKey); k != "" {
 		out.Header.Set(figpier.HeaderIdempotencyKey, k)
 	}
-	answer, err := s.exits.Do(out)
+	response, err := s.exitClient.Do(out)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	for name, values := range answer.Header {
+	defer func() { _ = response.Body.Close() }()
+	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(answer.StatusCode)
-	if _, err := io.Copy(flushed{w}, answer.Body); err != nil {
+	w.WriteHeader(response.StatusCode)
+	if _, err := io.Copy(flushingWriter{w}, response.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// flushed passes each part of an answer on as it comes.
-type flushed struct{ http.ResponseWriter }
+// flushingWriter flushes after each write, so that the caller gets each part of an answer as it comes.
+type flushingWriter struct{ http.ResponseWriter }
 
 // Write implements io.Writer.
-func (f flushed) Write(b []byte) (int, error) {
+func (f flushingWriter) Write(b []byte) (int, error) {
 	n, err := f.ResponseWriter.Write(b)
 	if err == nil {
 		err = http.NewResponseController(f.ResponseWriter).Flush()
