--- a/test/capacity/doc.go
+++ b/test/capacity/doc.go
@@ -1,2 +1,2 @@
-// Command capacity measures what a control instance spends on its nodes, with stand-ins for the nodes.
+// Command capacity measures the processor time and memory that a control instance uses for its nodes, which are simulated.
 package main
