--- a/test/surge/server.go
+++ b/test/surge/backend.go
@@ -152,13 +152,13 @@
 		return
 	}
 	out.Header.Set(figpier.HeaderCall, r.Header.Get(figpier.HeaderCall))
-	answer, err := s.exitClient.Do(out)
+	response, err := s.exitClient.Do(out)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	w.WriteHeader(answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	w.WriteHeader(response.StatusCode)
 	_, _ = fmt.Fprintln(w, "passed on")
 }
 
--- a/test/surge/load.go
+++ b/test/surge/load.go
@@ -86,7 +86,7 @@
 	entryAddresses []string
 	client         *http.Client
 	random         *rand.Rand
-	callers        sync.WaitGroup
+	pending        sync.WaitGroup
 }
 
 func newGenerator(r *record, entries []string) *generator {
@@ -111,7 +111,7 @@
 			at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 		}
 	}
-	g.callers.Wait()
+	g.pending.Wait()
 }
 
 // nextArrival draws the customer of the next request and returns it with the phase's rate in requests per second.
@@ -148,7 +148,7 @@
 		return
 	}
 	g.record.inFlight.Add(1)
-	g.callers.Go(func() {
+	g.pending.Go(func() {
 		defer g.record.inFlight.Add(-1)
 		g.sendWithRetries(ctx, q, entry)
 	})
--- a/test/surge/report.go
+++ b/test/surge/report.go
@@ -140,9 +140,9 @@
 		}
 	}
 	last := time.Duration(0)
-	for k, b := range buckets {
+	for index, b := range buckets {
 		if float64(b.served) < minServedShare*float64(b.all) {
-			last = max(last, time.Duration(k+1)*recoveryBucket)
+			last = max(last, time.Duration(index+1)*recoveryBucket)
 		}
 	}
 	return last
@@ -223,21 +223,21 @@
 }
 
 // workSummary returns the share of all executions that belonged to failed attempts, and the most executions of one attempt.
-func (r *result) workSummary() (wasted float64, most int) {
+func (r *result) workSummary() (wasted float64, maxRuns int) {
 	all, lost := 0, 0
 	for i := range r.record.attempts {
 		a := &r.record.attempts[i]
 		n := int(a.runs.Load())
 		all += n
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 		if !a.served.Load() {
 			lost += n
 		}
 	}
 	if all == 0 {
-		return 0, most
+		return 0, maxRuns
 	}
-	return float64(lost) / float64(all), most
+	return float64(lost) / float64(all), maxRuns
 }
 
 // attemptsPerRequest returns the mean number of attempts of the requests of the surge.
