--- a/test/path/fakes_test.go
+++ b/test/path/fakes_test.go
@@ -18,7 +18,8 @@
 // callerKey is the only key in the configuration of a fakeView. It belongs to the customer "acme".
 const callerKey = "test-caller-key"
 
-// fakeView implements figpier.ConfigurationView with the members and the configuration that a test sets.
+// fakeView implements figpier.ConfigurationView and figpier.Staleness with the members and the configuration that a test
+// sets.
 type fakeView struct {
 	configuration atomic.Pointer[figpier.Configuration]
 	stale         atomic.Bool
