--- a/internal/host/jsonc/document.go
+++ b/internal/host/jsonc/document.go
@@ -22,7 +22,7 @@
 func Parse(name string, data []byte) (*Document, error) {
 	d := &Document{name: name, data: bytes.Clone(data)}
 	if offset, exceeded := findExcessDepth(d.data); exceeded {
-		d.addProblem(d.lineAt(offset), "", fmt.Sprintf("lists and objects are nested more than %d levels deep", maxDepth))
+		d.addProblem(d.lineAt(offset), "", fmt.Sprintf("more than %d lists and objects stand inside one another", maxDepth))
 		return nil, d.Err()
 	}
 	root, err := hujson.Parse(d.data)
--- a/internal/host/jsonc/field.go
+++ b/internal/host/jsonc/field.go
@@ -51,7 +51,7 @@
 
 // Text returns a string.
 func (f *Field) Text() string {
-	l, ok := f.literal('"', "a string in double quotes")
+	l, ok := f.literal('"', "a text in double quotes")
 	if !ok {
 		return ""
 	}
@@ -68,7 +68,7 @@
 	case len(s) > maxLength:
 		f.Failf("the name is longer than %d bytes", maxLength)
 	case strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		f.Failf("the name contains white space or control characters")
+		f.Failf("the name has white space or control characters")
 	}
 	return s
 }
@@ -123,10 +123,10 @@
 	d, err := time.ParseDuration(l.String())
 	switch {
 	case err != nil:
-		f.Failf(`want a duration with a unit such as "250ms" or "4s"`)
+		f.Failf(`want a length of time with a unit such as "250ms" or "4s"`)
 		return 0
 	case d < minimum || d > maximum:
-		f.Failf("want a duration from %v to %v", minimum, maximum)
+		f.Failf("want a length of time from %v to %v", minimum, maximum)
 		return 0
 	}
 	return d
--- a/internal/host/jsonc/object.go
+++ b/internal/host/jsonc/object.go
@@ -35,7 +35,7 @@
 		name := memberName(m)
 		f := &Field{document: o.document, path: joinPath(o.path, name), value: &m.Value, set: true}
 		if _, duplicate := o.fields[name]; duplicate {
-			f.Failf("duplicate field")
+			f.Failf("the field is written twice")
 			continue
 		}
 		o.names = append(o.names, name)
@@ -78,7 +78,7 @@
 func (o *Object) RejectUnknown() {
 	for _, n := range o.names {
 		if !o.accessed[n] {
-			o.fields[n].Failf("unknown field: it is misspelt or in the wrong place")
+			o.fields[n].Failf("the field is unknown: it is misspelt or stands in the wrong place")
 		}
 	}
 }
--- a/internal/host/profile/read.go
+++ b/internal/host/profile/read.go
@@ -93,9 +93,9 @@
 	case len(name) > maxNameLength:
 		return fmt.Sprintf("the name is longer than %d bytes", maxNameLength), false
 	case strings.HasPrefix(name, "."):
-		return "a name must not begin with a full stop", false
+		return "a name does not begin with a full stop", false
 	case strings.Trim(name, nameCharacters) != "":
-		return "a name may contain only letters, digits, hyphens, underscores and full stops", false
+		return "a name has only letters, digits, hyphens, underscores and full stops", false
 	}
 	return "", true
 }
@@ -111,7 +111,7 @@
 // readCustomer returns the customer that a field is named after, and reports an invalid name with the field.
 func readCustomer(name string, f *jsonc.Field) figpier.CustomerID {
 	if detail, ok := CheckName(name); !ok {
-		f.Failf("invalid customer name: %s", detail)
+		f.Failf("the customer: %s", detail)
 	}
 	return figpier.CustomerID(name)
 }
@@ -145,11 +145,11 @@
 	switch {
 	case !f.IsSet():
 	case !strings.HasPrefix(s, "/"):
-		f.Failf("a path must begin with /")
+		f.Failf("a path begins with /")
 	case strings.Contains(prefix, wildcard):
-		f.Failf("a * is allowed only at the end, after a /")
+		f.Failf("a * stands only at the end, after a /")
 	case strings.ContainsAny(s, "?#"):
-		f.Failf("a path must not contain a query or a fragment")
+		f.Failf("a path has no query or fragment")
 	}
 	return s
 }
