--- a/design/api.go
+++ b/design/api.go
@@ -4,7 +4,7 @@
 
 var _ = API("figpier", func() {
 	Title("figpier operator API")
-	Description("Edits and assigns profiles, creates and revokes customer keys, and shows the state of control instances and nodes.")
+	Description("Edits and assigns profiles, gives customers keys and withdraws them, and shows the state of control instances and nodes.")
 	Server("control", func() {
 		Services("operator")
 		Host("loopback", func() {
@@ -142,7 +142,7 @@
 		HTTP(func() { GET("/v1/keys") })
 	})
 	Method("give_key", func() {
-		Description("Create a key for a customer. The secret is in the response to the first request only.")
+		Description("Give a customer a key. The secret is in the response to the first request only.")
 		Payload(func() {
 			tokenAttribute()
 			operationAttribute()
@@ -156,11 +156,11 @@
 		})
 	})
 	Method("withdraw_key", func() {
-		Description("Revoke a key. No base revision is needed, as a key never changes.")
+		Description("Withdraw a key. No base revision is needed, as a key never changes.")
 		Payload(func() {
 			tokenAttribute()
 			operationAttribute()
-			Attribute("key", String, "The key's public identifier.")
+			Attribute("key", String, "The key ID.")
 			Required("key")
 		})
 		Result(Receipt)
@@ -176,9 +176,9 @@
 	Required("token")
 }
 
-// operationAttribute adds the identifier by which a resend of an edit is recognised.
+// operationAttribute adds the operation ID, by which a resend of an edit is recognised.
 func operationAttribute() {
-	Attribute("operation", String, "The edit's idempotency identifier: a resend with the same one gets the first response. One is generated when it is absent.", func() {
+	Attribute("operation", String, "The operation ID, which identifies the edit: a resend with the same one gets the first response. One is generated when it is absent.", func() {
 		MaxLength(128)
 	})
 }
@@ -187,13 +187,13 @@
 func editAttributes() {
 	tokenAttribute()
 	operationAttribute()
-	Attribute("base", Int64, "The revision of the edited object that the edit is based on, 0 to create the object.", func() {
+	Attribute("base", Int64, "The base revision, which is the revision of the edited object that the edit is based on, 0 to create the object.", func() {
 		Minimum(0)
 	})
 	Required("base")
 }
 
-// editParams maps the operation and base of such an edit to query parameters.
+// editParams maps the operation ID and the base revision of such an edit to query parameters.
 func editParams() {
 	Param("operation")
 	Param("base")
--- a/design/types.go
+++ b/design/types.go
@@ -4,17 +4,17 @@
 
 // Receipt is the response to an accepted edit.
 var Receipt = Type("Receipt", func() {
-	Attribute("operation", String, "The edit's idempotency identifier.")
+	Attribute("operation", String, "The operation ID of the edit.")
 	Attribute("revision", Int64, "The configuration revision that the edit created.")
-	Attribute("key", String, "The public identifier of the key that was created or revoked.")
-	Attribute("secret", String, "The new key, which is in the response to the first request only.")
+	Attribute("key", String, "The key ID of the key that was given or withdrawn.")
+	Attribute("secret", String, "The secret of the new key, which is in the response to the first request only.")
 	Required("operation", "revision")
 })
 
 // ProfileSummary describes a profile in a list.
 var ProfileSummary = Type("ProfileSummary", func() {
 	Attribute("name", String, "The profile's name.")
-	Attribute("revision", Int64, "The profile's revision, which is the base of its next edit.")
+	Attribute("revision", Int64, "The profile's revision, which is the base revision of its next edit.")
 	Attribute("routes", Int, "The number of routes.")
 	Attribute("services", ArrayOf(String), "The services that the profile is assigned to, in alphabetical order.")
 	Required("name", "revision", "routes", "services")
@@ -30,7 +30,7 @@
 // ProfileView holds one profile as a profile file, ready to be edited and applied again.
 var ProfileView = Type("ProfileView", func() {
 	Attribute("name", String, "The profile's name.")
-	Attribute("revision", Int64, "The profile's revision, which is the base of its next edit.")
+	Attribute("revision", Int64, "The profile's revision, which is the base revision of its next edit.")
 	Attribute("document", String, "The profile in the form of a profile file.")
 	Required("name", "revision", "document")
 })
@@ -39,7 +39,7 @@
 var Assignment = Type("Assignment", func() {
 	Attribute("service", String, "The service's name.")
 	Attribute("profile", String, "The name of the profile that is assigned to the service.")
-	Attribute("revision", Int64, "The assignment's revision, which is the base of its next edit.")
+	Attribute("revision", Int64, "The assignment's revision, which is the base revision of its next edit.")
 	Required("service", "profile", "revision")
 })
 
@@ -52,9 +52,9 @@
 
 // CustomerKey is a customer key without its secret.
 var CustomerKey = Type("CustomerKey", func() {
-	Attribute("id", String, "The key's public identifier.")
+	Attribute("id", String, "The key ID, which is the key's public identifier.")
 	Attribute("customer", String, "The customer's name.")
-	Attribute("revision", Int64, "The configuration revision that added the key.")
+	Attribute("revision", Int64, "The configuration revision at which the customer was given the key.")
 	Required("id", "customer", "revision")
 })
 
@@ -79,8 +79,8 @@
 var Status = Type("Status", func() {
 	Attribute("instance", String, "The control instance that answers.")
 	Attribute("leader", String, "The leading control instance, empty when unknown.")
-	Attribute("quorum_age_millis", Int64, "How long ago the instance was known to be up to date with a quorum.")
-	Attribute("revision", Int64, "The newest accepted configuration revision that the instance has.")
+	Attribute("quorum_age_millis", Int64, "How long ago the control instance was known to be up to date with a quorum.")
+	Attribute("revision", Int64, "The newest accepted configuration revision that the control instance has.")
 	Attribute("profiles", Int, "The number of profiles.")
 	Attribute("assignments", Int, "The number of assigned services.")
 	Attribute("keys", Int, "The number of keys in force.")
@@ -116,6 +116,6 @@
 	Attribute("line", Int, "The line of the first invalid field in the submitted document.")
 	Attribute("current", Int64, "The revision of the edited object after the edit that won, 0 when it does not exist.")
 	Attribute("leader", String, "The leading control instance, empty when unknown.")
-	Attribute("operation", String, "The idempotency identifier with which to resend the edit.")
+	Attribute("operation", String, "The operation ID with which to resend the edit.")
 	Required("name", "message")
 })
--- a/gen/http/cli/control/cli.go
+++ b/gen/http/cli/control/cli.go
@@ -84,7 +84,7 @@
 		operatorGiveKeyTokenFlag     = operatorGiveKeyFlags.String("token", "REQUIRED", "")
 
 		operatorWithdrawKeyFlags         = flag.NewFlagSet("withdraw-key", flag.ExitOnError)
-		operatorWithdrawKeyKeyFlag       = operatorWithdrawKeyFlags.String("key", "REQUIRED", "The key's public identifier.")
+		operatorWithdrawKeyKeyFlag       = operatorWithdrawKeyFlags.String("key", "REQUIRED", "The key ID.")
 		operatorWithdrawKeyOperationFlag = operatorWithdrawKeyFlags.String("operation", "", "")
 		operatorWithdrawKeyTokenFlag     = operatorWithdrawKeyFlags.String("token", "REQUIRED", "")
 
@@ -255,8 +255,8 @@
 	fmt.Fprintln(os.Stderr, `    list-assignments: List all assignments, sorted by service.`)
 	fmt.Fprintln(os.Stderr, `    assign: Assign a profile to a service, in place of the one that it has.`)
 	fmt.Fprintln(os.Stderr, `    list-keys: List all keys without their secrets, sorted by customer and revision.`)
-	fmt.Fprintln(os.Stderr, `    give-key: Create a key for a customer. The secret is in the response to the first request only.`)
-	fmt.Fprintln(os.Stderr, `    withdraw-key: Revoke a key. No base revision is needed, as a key never changes.`)
+	fmt.Fprintln(os.Stderr, `    give-key: Give a customer a key. The secret is in the response to the first request only.`)
+	fmt.Fprintln(os.Stderr, `    withdraw-key: Withdraw a key. No base revision is needed, as a key never changes.`)
 	fmt.Fprintln(os.Stderr, `    view-status: Show the state of the control instance that answers.`)
 	fmt.Fprintln(os.Stderr, `    view-node: Show which limits of a node hold requests back, for which customers and since when.`)
 	fmt.Fprintln(os.Stderr)
@@ -423,7 +423,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Create a key for a customer. The secret is in the response to the first request only.`)
+	fmt.Fprintln(os.Stderr, `Give a customer a key. The secret is in the response to the first request only.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -445,10 +445,10 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Revoke a key. No base revision is needed, as a key never changes.`)
+	fmt.Fprintln(os.Stderr, `Withdraw a key. No base revision is needed, as a key never changes.`)
 
 	// Flags list
-	fmt.Fprintln(os.Stderr, `    -key STRING: The key's public identifier.`)
+	fmt.Fprintln(os.Stderr, `    -key STRING: The key ID.`)
 	fmt.Fprintln(os.Stderr, `    -operation STRING: `)
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
 
--- a/gen/http/operator/client/types.go
+++ b/gen/http/operator/client/types.go
@@ -47,7 +47,7 @@
 type ViewProfileResponseBody struct {
 	// The profile's name.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// The profile's revision, which is the base of its next edit.
+	// The profile's revision, which is the base revision of its next edit.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 	// The profile in the form of a profile file.
 	Document *string `form:"document,omitempty" json:"document,omitempty" xml:"document,omitempty"`
@@ -56,26 +56,28 @@
 // ApplyProfileResponseBody is the type of the "operator" service
 // "apply_profile" endpoint HTTP response body.
 type ApplyProfileResponseBody struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 	// The configuration revision that the edit created.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
 // DeleteProfileResponseBody is the type of the "operator" service
 // "delete_profile" endpoint HTTP response body.
 type DeleteProfileResponseBody struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 	// The configuration revision that the edit created.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -91,13 +93,14 @@
 // AssignResponseBody is the type of the "operator" service "assign" endpoint
 // HTTP response body.
 type AssignResponseBody struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 	// The configuration revision that the edit created.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -113,26 +116,28 @@
 // GiveKeyResponseBody is the type of the "operator" service "give_key"
 // endpoint HTTP response body.
 type GiveKeyResponseBody struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 	// The configuration revision that the edit created.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
 // WithdrawKeyResponseBody is the type of the "operator" service "withdraw_key"
 // endpoint HTTP response body.
 type WithdrawKeyResponseBody struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 	// The configuration revision that the edit created.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string `form:"key,omitempty" json:"key,omitempty" xml:"key,omitempty"`
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string `form:"secret,omitempty" json:"secret,omitempty" xml:"secret,omitempty"`
 }
 
@@ -143,9 +148,9 @@
 	Instance *string `form:"instance,omitempty" json:"instance,omitempty" xml:"instance,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// How long ago the instance was known to be up to date with a quorum.
+	// How long ago the control instance was known to be up to date with a quorum.
 	QuorumAgeMillis *int64 `form:"quorum_age_millis,omitempty" json:"quorum_age_millis,omitempty" xml:"quorum_age_millis,omitempty"`
-	// The newest accepted configuration revision that the instance has.
+	// The newest accepted configuration revision that the control instance has.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 	// The number of profiles.
 	Profiles *int `form:"profiles,omitempty" json:"profiles,omitempty" xml:"profiles,omitempty"`
@@ -184,7 +189,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -204,7 +209,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -224,7 +229,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -244,7 +249,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -264,7 +269,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -284,7 +289,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -304,7 +309,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -324,7 +329,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -344,7 +349,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -364,7 +369,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -384,7 +389,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -404,7 +409,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -424,7 +429,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -444,7 +449,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -464,7 +469,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -484,7 +489,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -504,7 +509,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -524,7 +529,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -544,7 +549,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -564,7 +569,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -584,7 +589,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -604,7 +609,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -624,7 +629,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -644,7 +649,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -664,7 +669,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -684,7 +689,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -704,7 +709,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -724,7 +729,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -745,7 +750,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -765,7 +770,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -785,7 +790,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -805,7 +810,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -825,7 +830,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -845,7 +850,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -865,7 +870,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -885,7 +890,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -906,7 +911,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -926,7 +931,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -947,7 +952,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -967,7 +972,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -987,7 +992,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1007,7 +1012,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1027,7 +1032,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1047,7 +1052,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1067,7 +1072,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1087,7 +1092,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1107,7 +1112,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1127,7 +1132,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1147,7 +1152,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1167,7 +1172,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1187,7 +1192,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1207,7 +1212,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1227,7 +1232,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1247,7 +1252,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1267,7 +1272,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1287,7 +1292,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1307,7 +1312,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1327,7 +1332,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1347,7 +1352,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1367,7 +1372,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1387,7 +1392,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1407,7 +1412,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1427,7 +1432,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1447,7 +1452,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1467,7 +1472,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1487,7 +1492,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1507,7 +1512,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1527,7 +1532,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1547,7 +1552,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1567,7 +1572,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1587,7 +1592,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1607,7 +1612,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1627,7 +1632,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1647,7 +1652,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1667,7 +1672,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1687,7 +1692,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1707,7 +1712,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1727,7 +1732,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1747,7 +1752,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1767,7 +1772,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1787,7 +1792,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1807,7 +1812,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1827,7 +1832,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1847,7 +1852,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1867,7 +1872,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1887,7 +1892,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1907,7 +1912,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1927,7 +1932,7 @@
 	Current *int64 `form:"current,omitempty" json:"current,omitempty" xml:"current,omitempty"`
 	// The leading control instance, empty when unknown.
 	Leader *string `form:"leader,omitempty" json:"leader,omitempty" xml:"leader,omitempty"`
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string `form:"operation,omitempty" json:"operation,omitempty" xml:"operation,omitempty"`
 }
 
@@ -1935,7 +1940,7 @@
 type ProfileSummaryResponseBody struct {
 	// The profile's name.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// The profile's revision, which is the base of its next edit.
+	// The profile's revision, which is the base revision of its next edit.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 	// The number of routes.
 	Routes *int `form:"routes,omitempty" json:"routes,omitempty" xml:"routes,omitempty"`
@@ -1949,17 +1954,17 @@
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	// The name of the profile that is assigned to the service.
 	Profile *string `form:"profile,omitempty" json:"profile,omitempty" xml:"profile,omitempty"`
-	// The assignment's revision, which is the base of its next edit.
+	// The assignment's revision, which is the base revision of its next edit.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 }
 
 // CustomerKeyResponseBody is used to define fields on response body types.
 type CustomerKeyResponseBody struct {
-	// The key's public identifier.
+	// The key ID, which is the key's public identifier.
 	ID *string `form:"id,omitempty" json:"id,omitempty" xml:"id,omitempty"`
 	// The customer's name.
 	Customer *string `form:"customer,omitempty" json:"customer,omitempty" xml:"customer,omitempty"`
-	// The configuration revision that added the key.
+	// The configuration revision at which the customer was given the key.
 	Revision *int64 `form:"revision,omitempty" json:"revision,omitempty" xml:"revision,omitempty"`
 }
 
--- a/gen/operator/service.go
+++ b/gen/operator/service.go
@@ -29,10 +29,10 @@
 	Assign(context.Context, *AssignPayload) (res *Receipt, err error)
 	// List all keys without their secrets, sorted by customer and revision.
 	ListKeys(context.Context, *ListKeysPayload) (res *KeyList, err error)
-	// Create a key for a customer. The secret is in the response to the first
-	// request only.
+	// Give a customer a key. The secret is in the response to the first request
+	// only.
 	GiveKey(context.Context, *GiveKeyPayload) (res *Receipt, err error)
-	// Revoke a key. No base revision is needed, as a key never changes.
+	// Withdraw a key. No base revision is needed, as a key never changes.
 	WithdrawKey(context.Context, *WithdrawKeyPayload) (res *Receipt, err error)
 	// Show the state of the control instance that answers.
 	ViewStatus(context.Context, *ViewStatusPayload) (res *Status, err error)
@@ -68,11 +68,11 @@
 type ApplyProfilePayload struct {
 	// The operator's token.
 	Token string
-	// The edit's idempotency identifier: a resend with the same one gets the first
-	// response. One is generated when it is absent.
+	// The operation ID, which identifies the edit: a resend with the same one gets
+	// the first response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the edit is based on, 0 to create the
-	// object.
+	// The base revision, which is the revision of the edited object that the edit
+	// is based on, 0 to create the object.
 	Base int64
 	// The profile's name.
 	Profile string
@@ -84,11 +84,11 @@
 type AssignPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's idempotency identifier: a resend with the same one gets the first
-	// response. One is generated when it is absent.
+	// The operation ID, which identifies the edit: a resend with the same one gets
+	// the first response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the edit is based on, 0 to create the
-	// object.
+	// The base revision, which is the revision of the edited object that the edit
+	// is based on, 0 to create the object.
 	Base int64
 	// The service's name.
 	Service string
@@ -101,7 +101,7 @@
 	Service string
 	// The name of the profile that is assigned to the service.
 	Profile string
-	// The assignment's revision, which is the base of its next edit.
+	// The assignment's revision, which is the base revision of its next edit.
 	Revision int64
 }
 
@@ -133,11 +133,11 @@
 }
 
 type CustomerKey struct {
-	// The key's public identifier.
+	// The key ID, which is the key's public identifier.
 	ID string
 	// The customer's name.
 	Customer string
-	// The configuration revision that added the key.
+	// The configuration revision at which the customer was given the key.
 	Revision int64
 }
 
@@ -146,11 +146,11 @@
 type DeleteProfilePayload struct {
 	// The operator's token.
 	Token string
-	// The edit's idempotency identifier: a resend with the same one gets the first
-	// response. One is generated when it is absent.
+	// The operation ID, which identifies the edit: a resend with the same one gets
+	// the first response. One is generated when it is absent.
 	Operation *string
-	// The revision of the edited object that the edit is based on, 0 to create the
-	// object.
+	// The base revision, which is the revision of the edited object that the edit
+	// is based on, 0 to create the object.
 	Base int64
 	// The profile's name.
 	Profile string
@@ -170,7 +170,7 @@
 	Current *int64
 	// The leading control instance, empty when unknown.
 	Leader *string
-	// The idempotency identifier with which to resend the edit.
+	// The operation ID with which to resend the edit.
 	Operation *string
 }
 
@@ -178,8 +178,8 @@
 type GiveKeyPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's idempotency identifier: a resend with the same one gets the first
-	// response. One is generated when it is absent.
+	// The operation ID, which identifies the edit: a resend with the same one gets
+	// the first response. One is generated when it is absent.
 	Operation *string
 	// The customer's name.
 	Customer string
@@ -248,7 +248,7 @@
 type ProfileSummary struct {
 	// The profile's name.
 	Name string
-	// The profile's revision, which is the base of its next edit.
+	// The profile's revision, which is the base revision of its next edit.
 	Revision int64
 	// The number of routes.
 	Routes int
@@ -260,7 +260,7 @@
 type ProfileView struct {
 	// The profile's name.
 	Name string
-	// The profile's revision, which is the base of its next edit.
+	// The profile's revision, which is the base revision of its next edit.
 	Revision int64
 	// The profile in the form of a profile file.
 	Document string
@@ -268,13 +268,14 @@
 
 // Receipt is the result type of the operator service apply_profile method.
 type Receipt struct {
-	// The edit's idempotency identifier.
+	// The operation ID of the edit.
 	Operation string
 	// The configuration revision that the edit created.
 	Revision int64
-	// The public identifier of the key that was created or revoked.
+	// The key ID of the key that was given or withdrawn.
 	Key *string
-	// The new key, which is in the response to the first request only.
+	// The secret of the new key, which is in the response to the first request
+	// only.
 	Secret *string
 }
 
@@ -284,9 +285,9 @@
 	Instance string
 	// The leading control instance, empty when unknown.
 	Leader string
-	// How long ago the instance was known to be up to date with a quorum.
+	// How long ago the control instance was known to be up to date with a quorum.
 	QuorumAgeMillis int64
-	// The newest accepted configuration revision that the instance has.
+	// The newest accepted configuration revision that the control instance has.
 	Revision int64
 	// The number of profiles.
 	Profiles int
@@ -327,10 +328,10 @@
 type WithdrawKeyPayload struct {
 	// The operator's token.
 	Token string
-	// The edit's idempotency identifier: a resend with the same one gets the first
-	// response. One is generated when it is absent.
+	// The operation ID, which identifies the edit: a resend with the same one gets
+	// the first response. One is generated when it is absent.
 	Operation *string
-	// The key's public identifier.
+	// The key ID.
 	Key string
 }
 
--- a/internal/wire/message/messages.go
+++ b/internal/wire/message/messages.go
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// CatalogState is a snapshot of the catalog with the results of recent operations,
+// CatalogState is a snapshot of the catalog with the results of recent edits,
 // oldest first.
 type CatalogState struct {
 	// Answers corresponds to the JSON schema field "answers".
@@ -235,7 +235,7 @@
 	// Changed corresponds to the JSON schema field "changed".
 	Changed Configuration `json:"changed" msgpack:"changed"`
 
-	// GoneKeys are the public identifiers of the revoked keys.
+	// GoneKeys are the key IDs of the withdrawn keys.
 	GoneKeys []string `json:"goneKeys" msgpack:"goneKeys"`
 
 	// GoneProfiles are the names of the deleted profiles.
@@ -334,21 +334,21 @@
 
 // Edit is one operator's change to the configuration.
 type Edit struct {
-	// Base is the revision of the edited object that the operator saw, 0 to create
-	// it; for a table it is the number of the current one.
+	// Base is the base revision, which is the revision of the edited object that the
+	// operator saw, 0 to create it; for a table it is the number of the current one.
 	Base int `json:"base" msgpack:"base"`
 
 	// Key corresponds to the JSON schema field "key".
 	Key *Key `json:"key,omitempty,omitzero" msgpack:"key,omitempty"`
 
-	// KeyId is the public identifier of the key that the edit adds or revokes.
+	// KeyId is the key ID of the key that the edit gives or withdraws.
 	KeyId *string `json:"keyId,omitempty,omitzero" msgpack:"keyId,omitempty"`
 
 	// Kind is apply-profile, delete-profile, assign, give-key, withdraw-key or
 	// replace-table.
 	Kind string `json:"kind" msgpack:"kind"`
 
-	// Operation is the edit's idempotency identifier; a resend carries the same one.
+	// Operation is the operation ID of the edit; a resend carries the same one.
 	Operation string `json:"operation" msgpack:"operation"`
 
 	// Profile corresponds to the JSON schema field "profile".
@@ -373,7 +373,7 @@
 	// KeyId corresponds to the JSON schema field "keyId".
 	KeyId string `json:"keyId" msgpack:"keyId"`
 
-	// Operation is the edit's idempotency identifier.
+	// Operation is the operation ID of the edit.
 	Operation string `json:"operation" msgpack:"operation"`
 
 	// Outcome is accepted, conflict or invalid.
@@ -384,7 +384,7 @@
 	Revision int `json:"revision" msgpack:"revision"`
 
 	// Subject identifies the content of the edit and tells a resend from another edit
-	// under the same operation.
+	// under the same operation ID.
 	Subject string `json:"subject" msgpack:"subject"`
 }
 
@@ -656,10 +656,10 @@
 	// Digest is the SHA-256 digest of the secret in hexadecimal.
 	Digest string `json:"digest" msgpack:"digest"`
 
-	// Id is the key's public identifier.
+	// Id is the key ID, which is the key's public identifier.
 	Id string `json:"id" msgpack:"id"`
 
-	// Revision is the configuration revision that added the key.
+	// Revision is the configuration revision at which the customer was given the key.
 	Revision int `json:"revision" msgpack:"revision"`
 }
 
@@ -741,7 +741,7 @@
 	// Region corresponds to the JSON schema field "region".
 	Region string `json:"region" msgpack:"region"`
 
-	// Sequence orders the announcements of one instance; the highest is the newest.
+	// Sequence orders the announcements of one node; the highest is the newest.
 	Sequence int `json:"sequence" msgpack:"sequence"`
 
 	// Service corresponds to the JSON schema field "service".
@@ -802,7 +802,7 @@
 	// Full is true when the members are the complete list and not only what changed.
 	Full bool `json:"full" msgpack:"full"`
 
-	// Gone lists the instances that are no longer members.
+	// Gone lists the names of the nodes that are no longer members.
 	Gone []string `json:"gone,omitempty,omitzero" msgpack:"gone,omitempty"`
 
 	// MemberVersion corresponds to the JSON schema field "memberVersion".
@@ -933,7 +933,7 @@
 	// only what changed.
 	Full bool `json:"full" msgpack:"full"`
 
-	// Gone lists the instances that are no longer members.
+	// Gone lists the names of the nodes that are no longer members.
 	Gone []string `json:"gone,omitempty,omitzero" msgpack:"gone,omitempty"`
 
 	// MemberVersion corresponds to the JSON schema field "memberVersion".
@@ -1652,7 +1652,7 @@
 	// Cluster identifies the log, empty while the data folder is new.
 	Cluster string `json:"cluster" msgpack:"cluster"`
 
-	// Founder is true when the instance may take part in creating a new log.
+	// Founder is true when the control instance may take part in creating a new log.
 	Founder bool `json:"founder" msgpack:"founder"`
 
 	// Leader corresponds to the JSON schema field "leader".
--- a/internal/wire/message/shards.go
+++ b/internal/wire/message/shards.go
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// ShardAssignment says which members hold a shard in one epoch; a member's name
-// starts with its message address.
+// ShardAssignment says which members hold a shard in one epoch; a member is a
+// process of a node, and its name starts with its message address.
 type ShardAssignment struct {
 	// Backups have every completed write.
 	Backups []string `json:"backups,omitempty,omitzero"`
