--- a/internal/control/disk/disk_test.go
+++ b/internal/control/disk/disk_test.go
@@ -24,12 +24,12 @@
 func proposeAndWrite(t *testing.T, d *Disk, proposals int) *replica.Machine {
 	t.Helper()
 	m := replica.New(replica.Config{
-		Self: d.Member(), Heartbeat: 1, Election: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
+		Self: d.Member(), Heartbeat: 1, ElectionTimeout: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
 		Random: rand.New(rand.NewPCG(1, 2)), State: d.State(), Snapshot: d.Snapshot(), Entries: d.Entries(),
 	})
 	if m.Cluster() == "" {
 		self := replica.NewMember(replica.MemberConfig{ID: d.Member(), Voter: true})
-		m.Found(m.NextTick(), "log", replica.NewMembers(self), []byte("genesis"))
+		m.Bootstrap(m.NextTick(), "log", replica.NewMembers(self), []byte("genesis"))
 	}
 	m.Tick(m.NextTick())
 	writeEffects(t, d, m)
@@ -42,9 +42,9 @@
 
 func writeEffects(t *testing.T, d *Disk, m *replica.Machine) {
 	t.Helper()
-	for e := m.Take(); e.Writes(); e = m.Take() {
+	for e := m.TakeEffects(); e.HasWrites(); e = m.TakeEffects() {
 		assert.NilError(t, d.Write([]*replica.Effects{e}))
-		m.Durable(m.NextTick(), e)
+		m.WritesDurable(m.NextTick(), e)
 	}
 }
 
@@ -81,7 +81,7 @@
 			d = openDisk(t, folder)
 			assert.Equal(t, string(d.Snapshot().Data()), "state")
 		}
-		term, last = m.Term(), m.Commit()
+		term, last = m.Term(), m.CommitIndex()
 		assert.NilError(t, d.Close())
 	}
 	assert.Equal(t, last, uint64(1+5*101))
@@ -103,18 +103,18 @@
 	for end := len(whole); end < len(all); end++ {
 		assert.NilError(t, os.WriteFile(path, all[:end], fileMode))
 		d := openDisk(t, folder)
-		assert.Equal(t, lastIndex(d), m.Commit()-1, "cut at %d", end)
+		assert.Equal(t, lastIndex(d), m.CommitIndex()-1, "cut at %d", end)
 		assert.Equal(t, d.DroppedBytes(), int64(end-len(whole)))
 		next := proposeAndWrite(t, d, 1)
 		assert.NilError(t, d.Close())
 		d = openDisk(t, folder)
-		assert.Equal(t, lastIndex(d), next.Commit())
+		assert.Equal(t, lastIndex(d), next.CommitIndex())
 		assert.NilError(t, d.Close())
 	}
 	unwritten := append(append([]byte{}, whole...), make([]byte, len(all)-len(whole))...)
 	assert.NilError(t, os.WriteFile(path, unwritten, fileMode))
 	d = openDisk(t, folder)
-	assert.Equal(t, lastIndex(d), m.Commit()-1)
+	assert.Equal(t, lastIndex(d), m.CommitIndex()-1)
 	assert.NilError(t, d.Close())
 }
 
--- a/internal/control/pool/pool.go
+++ b/internal/control/pool/pool.go
@@ -65,7 +65,7 @@
 		Window:  p.config.Window,
 		Overage: p.config.Overage,
 		Slack:   p.config.Slack,
-		Opened:  p.startedAt,
+		Start:   p.startedAt,
 	})
 	if p.catalog, err = figpier.FindCatalog(d); err != nil {
 		return err
@@ -121,7 +121,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	share := p.quotas.PoolShare(limit, polling, all)
-	paid := p.quotas.Pay(now, c, limit, share, m.Owed)
+	paid := p.quotas.Settle(now, c, limit, share, m.Owed)
 	wait, granted := p.quotas.Take(now, c, limit, share)
 	return message.PoolAnswer{Granted: granted, WaitMillis: ceilMillis(wait), Paid: paid}
 }
--- a/internal/control/pool/pool_test.go
+++ b/internal/control/pool/pool_test.go
@@ -49,7 +49,7 @@
 		p := New(Config{Address: a, Window: window, Overage: overage, Slack: slack, Log: logrus.NewEntry(log)})
 		i := fakeServices{all: x}
 		p.clock, p.catalog, p.registry, p.exchange, p.messenger = i, i, i, i, i
-		p.quotas = quota.New(quota.Config{Window: window, Overage: overage, Slack: slack, Opened: x.now})
+		p.quotas = quota.New(quota.Config{Window: window, Overage: overage, Slack: slack, Start: x.now})
 		x.pools[a] = p
 	}
 	return x
--- a/internal/control/pool/transfer.go
+++ b/internal/control/pool/transfer.go
@@ -46,7 +46,7 @@
 		p.config.Log.WithError(err).WithField("control", address).Debug("a control instance did not answer a request for tokens")
 		return false
 	}
-	p.quotas.Receive(c, a.Tokens)
+	p.quotas.Add(c, a.Tokens)
 	return a.Tokens > 0
 }
 
@@ -89,5 +89,5 @@
 	polling, all := p.registry.CountPolling(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return message.TransferAnswer{Tokens: p.quotas.Spare(now, c, limit, p.quotas.PoolShare(limit, polling, all))}, nil
+	return message.TransferAnswer{Tokens: p.quotas.TakeAll(now, c, limit, p.quotas.PoolShare(limit, polling, all))}, nil
 }
--- a/internal/control/replica/handle.go
+++ b/internal/control/replica/handle.go
@@ -25,7 +25,7 @@
 		return
 	}
 	l.handingOver = true
-	if !l.machine.Resign() {
+	if !l.machine.TransferLeadership() {
 		close(l.handedOver)
 	}
 }
@@ -72,7 +72,7 @@
 // processEffects carries out the member's effects, takes a snapshot if one is due, and publishes the status.
 func (l *Log) processEffects(now time.Time) {
 	for !l.failed {
-		e := l.machine.Take()
+		e := l.machine.TakeEffects()
 		l.apply(e)
 		l.sendOrQueue(e)
 		if !l.compact() {
@@ -101,11 +101,11 @@
 
 // sendOrQueue sends messages at once when no write is pending, and otherwise queues them behind the writes: they must not leave before these are durable.
 func (l *Log) sendOrQueue(e *decision.Effects) {
-	if l.pendingWrites == 0 && !e.Writes() {
+	if l.pendingWrites == 0 && !e.HasWrites() {
 		l.sender.send(e.Messages())
 		return
 	}
-	if e.Writes() || len(e.Messages()) > 0 {
+	if e.HasWrites() || len(e.Messages()) > 0 {
 		l.pendingWrites++
 		l.writer.enqueue(e)
 	}
@@ -119,15 +119,15 @@
 	l.pendingWrites -= len(w.effects)
 	for _, e := range w.effects {
 		l.sender.send(e.Messages())
-		if e.Writes() {
-			l.machine.Durable(now, e)
+		if e.HasWrites() {
+			l.machine.WritesDurable(now, e)
 		}
 	}
 }
 
 // compact takes a snapshot when snapshotEntries entries were committed since the last one, and reports whether it did.
 func (l *Log) compact() bool {
-	if l.failed || l.machine.Commit() < l.machine.CompactedTo()+snapshotEntries {
+	if l.failed || l.machine.CommitIndex() < l.machine.SnapshotIndex()+snapshotEntries {
 		return false
 	}
 	data, err := l.stateMachine.Snapshot()
@@ -152,8 +152,8 @@
 func (l *Log) publish(now time.Time) {
 	s := &status{
 		leader:        l.machine.Leader(),
-		quorumContact: l.machine.Contact(now),
-		commit:        l.machine.Commit(),
+		quorumContact: l.machine.LastQuorumContact(now),
+		commit:        l.machine.CommitIndex(),
 		leading:       l.machine.Leading() && !l.failed,
 	}
 	if !l.needsJoin() {
--- a/internal/control/replica/join.go
+++ b/internal/control/replica/join.go
@@ -162,6 +162,6 @@
 		founders = append(founders, decision.NewMember(c))
 	}
 	cluster := rand.Text()[:incarnationLength]
-	l.machine.Found(now, cluster, decision.NewMembers(founders...), data)
+	l.machine.Bootstrap(now, cluster, decision.NewMembers(founders...), data)
 	l.log.WithField("cluster", cluster).Warn("founded a new replicated log: all founders answered and none had one")
 }
--- a/internal/control/replica/service.go
+++ b/internal/control/replica/service.go
@@ -59,12 +59,12 @@
 	Seeded bool
 	// Founder says that this instance may take part in founding the log.
 	Founder bool
-	// Voters is the number of voters above which a silent one is removed, 0 to keep all.
-	Voters int
+	// TargetVoters is the number of voters above which a silent one is removed, 0 to keep all.
+	TargetVoters int
 	// Heartbeat is the time between two messages of a leader to a silent follower, 100 ms when 0.
 	Heartbeat time.Duration
-	// Election is the least time without a leader before an election, 600 ms when 0.
-	Election time.Duration
+	// ElectionTimeout is the least time without a leader before an election, 600 ms when 0.
+	ElectionTimeout time.Duration
 	// Log is the logger, nil for no log lines.
 	Log *logrus.Entry
 }
@@ -125,8 +125,8 @@
 	if c.Heartbeat == 0 {
 		c.Heartbeat = defaultHeartbeat
 	}
-	if c.Election == 0 {
-		c.Election = defaultElection
+	if c.ElectionTimeout == 0 {
+		c.ElectionTimeout = defaultElection
 	}
 	l := &Log{
 		config:     c,
@@ -184,21 +184,21 @@
 func (l *Log) newMachine() *decision.Machine {
 	seed := random.NewPCG(random.Uint64(), random.Uint64())
 	return decision.New(decision.Config{
-		Self:           l.disk.Member(),
-		Address:        l.config.Address,
-		Heartbeat:      l.config.Heartbeat,
-		Election:       l.config.Election,
-		LearnerTimeout: learnerTimeout,
-		Voters:         l.config.Voters,
-		VoterTimeout:   voterTimeout,
-		BatchBytes:     appendBatchBytes,
-		PartBytes:      snapshotPartBytes,
-		Trailing:       trailingEntries,
-		Random:         random.New(seed),
-		Now:            l.clock.Now(),
-		State:          l.disk.State(),
-		Snapshot:       l.disk.Snapshot(),
-		Entries:        l.disk.Entries(),
+		Self:            l.disk.Member(),
+		Address:         l.config.Address,
+		Heartbeat:       l.config.Heartbeat,
+		ElectionTimeout: l.config.ElectionTimeout,
+		LearnerTimeout:  learnerTimeout,
+		TargetVoters:    l.config.TargetVoters,
+		VoterTimeout:    voterTimeout,
+		BatchBytes:      appendBatchBytes,
+		PartBytes:       snapshotPartBytes,
+		TrailingEntries: trailingEntries,
+		Random:          random.New(seed),
+		Now:             l.clock.Now(),
+		State:           l.disk.State(),
+		Snapshot:        l.disk.Snapshot(),
+		Entries:         l.disk.Entries(),
 	})
 }
 
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -30,8 +30,8 @@
 	Instance figpier.InstanceID
 	// LeaseTime is how long a node may act for its shards after each renewal.
 	LeaseTime time.Duration
-	// ClockError is the greatest drift between the clocks of two machines during a lease.
-	ClockError time.Duration
+	// MaxClockDrift is the greatest drift between the clocks of two machines during a lease.
+	MaxClockDrift time.Duration
 	// LossTime is how long all members of a replicated shard must be gone before it restarts with an empty state.
 	LossTime time.Duration
 	// Backups is the number of backups of a replicated shard.
@@ -56,7 +56,7 @@
 	// The fields below are used on the control thread alone.
 
 	// shards are the assignments in the control log.
-	shards *shard.Map
+	shards *shard.Assignments
 	// assigner makes decisions in the term that this instance began, nil until that term is in force.
 	assigner *shard.Assigner
 	// term names the newest term that this instance proposed.
@@ -70,7 +70,7 @@
 }
 
 // New returns a service without assignments.
-func New(c Config) *Service { return &Service{config: c, shards: shard.NewMap()} }
+func New(c Config) *Service { return &Service{config: c, shards: shard.NewAssignments()} }
 
 // Name implements figpier.Service.
 func (s *Service) Name() figpier.ServiceName { return figpier.ShardAssignerService }
@@ -229,12 +229,12 @@
 // newAssigner returns an assigner that moves no shard while leases that an earlier leader granted may still hold.
 func (s *Service) newAssigner(now time.Time) *shard.Assigner {
 	c := shard.AssignerConfig{
-		Shards:     shard.Count,
-		Replicated: shard.Replicated,
-		Backups:    s.config.Backups,
-		LeaseTime:  s.config.LeaseTime,
-		ClockError: s.config.ClockError,
-		LossTime:   s.config.LossTime,
+		Shards:        shard.Count,
+		Replicated:    shard.Replicated,
+		Backups:       s.config.Backups,
+		LeaseTime:     s.config.LeaseTime,
+		MaxClockDrift: s.config.MaxClockDrift,
+		LossTime:      s.config.LossTime,
 	}
-	return shard.NewAssigner(c, s.shards, now.Add(maxQuorumAge+s.config.LeaseTime+s.config.ClockError))
+	return shard.NewAssigner(c, s.shards, now.Add(maxQuorumAge+s.config.LeaseTime+s.config.MaxClockDrift))
 }
--- a/internal/control/shards/state.go
+++ b/internal/control/shards/state.go
@@ -20,7 +20,7 @@
 		return Error.Wrap(err)
 	}
 	if c.Begin {
-		s.shards.Begin(c.Term)
+		s.shards.BeginTerm(c.Term)
 	}
 	for _, a := range c.Shards {
 		s.shards.Apply(c.Term, codec.ToShardAssignment(a))
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(snapshot, &c); err != nil {
 		return Error.Wrap(err)
 	}
-	s.shards.Begin(c.Term)
+	s.shards.BeginTerm(c.Term)
 	for _, a := range c.Shards {
 		s.shards.Restore(codec.ToShardAssignment(a))
 	}
--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -49,12 +49,12 @@
 	})
 	states := catalog.New()
 	assigner := shards.New(shards.Config{
-		Instance:   figpier.InstanceID(s.Instance()),
-		LeaseTime:  controlLease,
-		ClockError: controlClockError,
-		LossTime:   shardLossTimeout,
-		Backups:    shardBackups,
-		Log:        l,
+		Instance:      figpier.InstanceID(s.Instance()),
+		LeaseTime:     controlLease,
+		MaxClockDrift: controlMaxClockDrift,
+		LossTime:      shardLossTimeout,
+		Backups:       shardBackups,
+		Log:           l,
 	})
 	log.SetStateMachine(machines.New(machines.Config{Catalog: states, Shards: assigner}))
 	return k, registerAll(k,
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -165,15 +165,15 @@
 	c := s.Control()
 	k := registry.New(registry.Config{Clock: system.Clock{}})
 	log := replica.New(replica.Config{
-		Instance:   figpier.InstanceID(s.Instance()),
-		Address:    s.Messages(),
-		DataFolder: c.DataFolder,
-		Seeded:     true,
-		Founder:    c.Founder,
-		Voters:     2*c.Losses + 1,
-		Heartbeat:  meshHeartbeatInterval,
-		Election:   meshElectionTimeout,
-		Log:        l,
+		Instance:        figpier.InstanceID(s.Instance()),
+		Address:         s.Messages(),
+		DataFolder:      c.DataFolder,
+		Seeded:          true,
+		Founder:         c.Founder,
+		TargetVoters:    2*c.Losses + 1,
+		Heartbeat:       meshHeartbeatInterval,
+		ElectionTimeout: meshElectionTimeout,
+		Log:             l,
 	})
 	states := catalog.New()
 	log.SetStateMachine(states)
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -88,7 +88,7 @@
 		handles.New(),
 		locator.New(locator.Config{Controls: n.Controls}),
 		shards.New(shardsConfig(s)),
-		limiter.New(limiter.Config{Instance: figpier.InstanceID(s.Instance()), Patience: tokenWaitTimeout}),
+		limiter.New(limiter.Config{Instance: figpier.InstanceID(s.Instance()), MaxWait: tokenWaitTimeout}),
 		claims.New(),
 		ranks.New(),
 		cutoffs.New(),
@@ -133,15 +133,15 @@
 // shardsConfig returns the configuration of the service that hosts shards on a node.
 func shardsConfig(s *settings.Settings) shards.Config {
 	return shards.Config{
-		Instance:   figpier.InstanceID(s.Instance()),
-		Address:    s.Messages(),
-		DataCentre: figpier.DataCentre(s.DataCentre()),
-		Region:     figpier.Region(s.Region()),
-		Controls:   s.Node().Controls,
-		TokenLease: tokenLease,
-		ClockError: tokenClockError,
-		Retention:  claimRetention,
-		RunTime:    claimRunTimeout,
+		Instance:      figpier.InstanceID(s.Instance()),
+		Address:       s.Messages(),
+		DataCentre:    figpier.DataCentre(s.DataCentre()),
+		Region:        figpier.Region(s.Region()),
+		Controls:      s.Node().Controls,
+		TokenLease:    tokenLease,
+		MaxClockDrift: tokenMaxClockDrift,
+		Retention:     claimRetention,
+		RunTimeout:    claimRunTimeout,
 	}
 }
 
--- a/internal/policy/bucket/bucket.go
+++ b/internal/policy/bucket/bucket.go
@@ -23,17 +23,17 @@
 	Limit figpier.Limit
 	// LeaseTime is how long a holder may spend a lease, counted from when it sent the request.
 	LeaseTime time.Duration
-	// ClockError bounds how far two clocks drift apart during a lease.
-	ClockError time.Duration
-	// WaitOut says that a lost predecessor of the bucket may have leases that have not expired.
-	WaitOut bool
+	// MaxClockDrift bounds how far two clocks drift apart during a lease.
+	MaxClockDrift time.Duration
+	// PredecessorLeases says that a lost predecessor of the bucket may have leases that have not expired.
+	PredecessorLeases bool
 }
 
 // Bucket is a token bucket whose tokens are leased to holders. It is not safe for concurrent use.
 type Bucket struct {
-	limit      figpier.Limit
-	leaseTime  time.Duration
-	clockError time.Duration
+	limit         figpier.Limit
+	leaseTime     time.Duration
+	maxClockDrift time.Duration
 
 	free     float64   // tokens that may be leased
 	leased   int       // leased tokens that are not reported as spent
@@ -61,20 +61,20 @@
 	lastAsk   time.Time
 }
 
-// New returns a full bucket, or with Config.WaitOut an empty one that starts to refill when its predecessor's leases have
+// New returns a full bucket, or with Config.PredecessorLeases an empty one that starts to refill when its predecessor's leases have
 // expired.
 func New(c Config, now time.Time) *Bucket {
 	b := &Bucket{
-		limit:      c.Limit,
-		leaseTime:  c.LeaseTime,
-		clockError: c.ClockError,
-		free:       c.Limit.Burst(),
-		refilled:   now,
-		holders:    map[HolderID]*holder{},
+		limit:         c.Limit,
+		leaseTime:     c.LeaseTime,
+		maxClockDrift: c.MaxClockDrift,
+		free:          c.Limit.Burst(),
+		refilled:      now,
+		holders:       map[HolderID]*holder{},
 	}
-	if c.WaitOut {
+	if c.PredecessorLeases {
 		b.free = 0
-		b.refilled = now.Add(c.LeaseTime + c.ClockError)
+		b.refilled = now.Add(c.LeaseTime + c.MaxClockDrift)
 	}
 	return b
 }
@@ -89,11 +89,11 @@
 // Limit returns the rate and burst.
 func (b *Bucket) Limit() figpier.Limit { return b.limit }
 
-// Out returns the number of leased tokens that are not reported as spent.
-func (b *Bucket) Out() int { return b.leased }
+// Leased returns the number of leased tokens that are not reported as spent.
+func (b *Bucket) Leased() int { return b.leased }
 
-// Level returns the number of tokens that are free to be leased.
-func (b *Bucket) Level() float64 { return b.free }
+// Free returns the number of tokens that are free to be leased.
+func (b *Bucket) Free() float64 { return b.free }
 
 // Idle reports whether the bucket is full and has no leased tokens, so that it can be dropped and created again later.
 func (b *Bucket) Idle(now time.Time) bool {
@@ -103,7 +103,7 @@
 
 // Ask applies a holder's reports and leases tokens to it. A repeated request gets the same answer again, and one that
 // arrives after a later request gets no tokens; both change nothing.
-func (b *Bucket) Ask(a AskConfig, now time.Time) Grant {
+func (b *Bucket) Ask(a TokenRequestConfig, now time.Time) Grant {
 	b.advance(now)
 	h := b.holder(a.Holder)
 	if a.Sequence < h.sequence {
@@ -131,8 +131,8 @@
 
 // applyReports applies a holder's reports. A lease that is not reported is closed, because reports name every lease that
 // the holder still has.
-func (b *Bucket) applyReports(h *holder, reports []ReportConfig) {
-	reported := map[uint64]ReportConfig{}
+func (b *Bucket) applyReports(h *holder, reports []LeaseReportConfig) {
+	reported := map[uint64]LeaseReportConfig{}
 	for _, r := range reports {
 		reported[r.Sequence] = r
 	}
@@ -172,7 +172,7 @@
 	b.capFreeTokens()
 }
 
-func (b *Bucket) grant(h *holder, a AskConfig, now time.Time) Grant {
+func (b *Bucket) grant(h *holder, a TokenRequestConfig, now time.Time) Grant {
 	g := Grant{sequence: a.Sequence, leaseTime: b.leaseTime}
 	held := h.heldTokens()
 	if a.Target <= held {
@@ -185,19 +185,19 @@
 	}
 	g.retryAfter = b.retryDelay(now)
 	g.empty = b.free < 1
-	g.overRate = g.empty && held == 0 && b.refillable() >= 1 && g.retryAfter > a.Patience
+	g.overRate = g.empty && held == 0 && b.refillable() >= 1 && g.retryAfter > a.MaxWait
 	return g
 }
 
 // prefetchTokens returns the tokens that a holder may get ahead of demand, which leave a reserve for waiting requests.
-func (b *Bucket) prefetchTokens(a AskConfig, held int, now time.Time) int {
+func (b *Bucket) prefetchTokens(a TokenRequestConfig, held int, now time.Time) int {
 	half := (int(b.free) + b.leased) / 2
 	free := int(b.free - b.limit.Burst()/reserveDivisor)
 	return min(b.fairShare(half, a.Target, now)-held, a.Target-held, free)
 }
 
 // waitingTokens returns the tokens that a holder may get for the requests that wait at it.
-func (b *Bucket) waitingTokens(a AskConfig, held int, now time.Time) int {
+func (b *Bucket) waitingTokens(a TokenRequestConfig, held int, now time.Time) int {
 	fair := b.fairShare(int(b.free)+b.leased, a.Target, now) - held
 	if held == 0 {
 		fair = max(fair, 1)
@@ -205,12 +205,12 @@
 	return min(a.Waiting, fair, int(b.free))
 }
 
-func (b *Bucket) addLease(h *holder, a AskConfig, n int, now time.Time) {
+func (b *Bucket) addLease(h *holder, a TokenRequestConfig, n int, now time.Time) {
 	l := &lease{
 		holder:   a.Holder,
 		sequence: a.Sequence,
 		tokens:   n,
-		expires:  now.Add(b.leaseTime + b.clockError),
+		expires:  now.Add(b.leaseTime + b.maxClockDrift),
 	}
 	b.free -= float64(n)
 	b.leased += n
--- a/internal/policy/bucket/bucket_test.go
+++ b/internal/policy/bucket/bucket_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	testLeaseTime  = time.Second
-	testClockError = 25 * time.Millisecond
-	testStep       = time.Millisecond
-	maxDrift       = 0.01
+	testLeaseTime     = time.Second
+	testMaxClockDrift = 25 * time.Millisecond
+	testStep          = time.Millisecond
+	maxDrift          = 0.01
 )
 
 var epoch = time.Unix(1_000_000, 0)
@@ -69,17 +69,17 @@
 	refused   int
 }
 
-func newCluster(l figpier.Limit, nodes int, patience time.Duration) *cluster {
+func newCluster(l figpier.Limit, nodes int, maxWait time.Duration) *cluster {
 	c := &cluster{
 		now:       epoch,
-		bucket:    New(Config{Limit: l, LeaseTime: testLeaseTime, ClockError: testClockError}, epoch),
+		bucket:    New(Config{Limit: l, LeaseTime: testLeaseTime, MaxClockDrift: testMaxClockDrift}, epoch),
 		delay:     func() time.Duration { return testStep },
 		lost:      func() bool { return false },
 		repeated:  func() bool { return false },
 		reference: &exactBucket{rate: l.Rate(), burst: l.Burst(), level: l.Burst(), last: epoch},
 	}
 	for i := range nodes {
-		config := HolderConfig{ID: HolderID(fmt.Sprint(i)), Patience: patience, AskTimeout: 100 * time.Millisecond}
+		config := HolderConfig{ID: HolderID(fmt.Sprint(i)), MaxWait: maxWait, AskTimeout: 100 * time.Millisecond}
 		c.nodes = append(c.nodes, &node{holder: NewHolder(config, epoch)})
 	}
 	return c
@@ -142,7 +142,7 @@
 	if len(n.waiting) > 0 {
 		c.serveWaiting(n, n.holder.Take(n.clock(c.now)))
 	}
-	for len(n.waiting) > 0 && c.now.Sub(n.waiting[0]) > n.holder.config.Patience {
+	for len(n.waiting) > 0 && c.now.Sub(n.waiting[0]) > n.holder.config.MaxWait {
 		n.waiting = n.waiting[1:]
 		n.holder.SetWaiting(len(n.waiting))
 		c.refused++
@@ -185,7 +185,7 @@
 			c.step()
 		}
 		assert.Equal(t, c.excess, 0, "of %d tokens", c.spent)
-		assert.Assert(t, float64(c.bucket.Out())+c.bucket.Level() <= l.Burst()+1e-6)
+		assert.Assert(t, float64(c.bucket.Leased())+c.bucket.Free() <= l.Burst()+1e-6)
 	})
 }
 
@@ -201,7 +201,7 @@
 			if i == change {
 				c.bucket.SetLimit(after, c.now)
 			}
-			if i == change+int((testLeaseTime+testClockError)/testStep) {
+			if i == change+int((testLeaseTime+testMaxClockDrift)/testStep) {
 				c.reference = &exactBucket{rate: after.Rate(), burst: after.Burst(), level: after.Burst(), last: c.now}
 			}
 			c.arrive(c.nodes[r.IntN(len(c.nodes))])
@@ -212,23 +212,23 @@
 }
 
 func TestNewBucketWaitsForLeasesOfItsPredecessor(t *testing.T) {
-	c := Config{Limit: newLimit(10, 5), LeaseTime: testLeaseTime, ClockError: testClockError, WaitOut: true}
+	c := Config{Limit: newLimit(10, 5), LeaseTime: testLeaseTime, MaxClockDrift: testMaxClockDrift, PredecessorLeases: true}
 	b := New(c, epoch)
-	a := AskConfig{Holder: "n", Sequence: 1, Target: 3, Waiting: 3}
-	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testClockError)).Tokens(), 0)
+	a := TokenRequestConfig{Holder: "n", Sequence: 1, Target: 3, Waiting: 3}
+	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testMaxClockDrift)).Tokens(), 0)
 	a.Sequence = 2
-	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testClockError+200*time.Millisecond)).Tokens(), 2)
+	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testMaxClockDrift+200*time.Millisecond)).Tokens(), 2)
 }
 
 func TestLeaseExpiresAfterLeaseTimeAndClockError(t *testing.T) {
-	b := New(Config{Limit: newLimit(1, 1), LeaseTime: testLeaseTime, ClockError: testClockError}, epoch)
-	assert.Equal(t, b.Ask(AskConfig{Holder: "n", Sequence: 1, Target: 1, Waiting: 1}, epoch).Tokens(), 1)
-	end := epoch.Add(testLeaseTime + testClockError)
+	b := New(Config{Limit: newLimit(1, 1), LeaseTime: testLeaseTime, MaxClockDrift: testMaxClockDrift}, epoch)
+	assert.Equal(t, b.Ask(TokenRequestConfig{Holder: "n", Sequence: 1, Target: 1, Waiting: 1}, epoch).Tokens(), 1)
+	end := epoch.Add(testLeaseTime + testMaxClockDrift)
 	b.advance(end.Add(-1))
-	assert.Equal(t, b.Out(), 1)
+	assert.Equal(t, b.Leased(), 1)
 	b.advance(end)
-	assert.Equal(t, b.Out(), 0)
-	assert.Equal(t, b.Level(), 0.0)
+	assert.Equal(t, b.Leased(), 0)
+	assert.Equal(t, b.Free(), 0.0)
 }
 
 func TestHolderLeaseExpiresFromTimeOfAsk(t *testing.T) {
--- a/internal/policy/bucket/holder.go
+++ b/internal/policy/bucket/holder.go
@@ -33,8 +33,8 @@
 type HolderConfig struct {
 	// ID identifies the holder to the bucket.
 	ID HolderID
-	// Patience is how long a request may wait for a token.
-	Patience time.Duration
+	// MaxWait is how long a request may wait for a token.
+	MaxWait time.Duration
 	// AskTimeout is how long a request for tokens may stay unanswered before the next one is sent.
 	AskTimeout time.Duration
 }
@@ -103,17 +103,17 @@
 
 // Next returns the request for tokens that is due now. When none is due, it returns when to call it again, the zero time
 // if only another call to the holder can make one due.
-func (h *Holder) Next(now time.Time) (a AskConfig, due bool, nextCheck time.Time) {
+func (h *Holder) Next(now time.Time) (a TokenRequestConfig, due bool, nextCheck time.Time) {
 	if h.inFlight {
 		timeout := h.lastSent.Add(h.config.AskTimeout)
 		if now.Before(timeout) {
-			return AskConfig{}, false, timeout
+			return TokenRequestConfig{}, false, timeout
 		}
 	}
 	if at := h.nextAskTime(now); at.IsZero() || at.After(now) {
-		return AskConfig{}, false, at
+		return TokenRequestConfig{}, false, at
 	}
-	return h.buildAsk(now), true, time.Time{}
+	return h.buildRequest(now), true, time.Time{}
 }
 
 // nextAskTime returns when the next request for tokens should be sent, the zero time if none is needed.
@@ -136,23 +136,23 @@
 	return h.demand >= 1 && 2*h.usableTokens(now) < h.targetTokens()
 }
 
-// buildAsk returns the next request for tokens, which reports every lease, and records it as sent.
-func (h *Holder) buildAsk(now time.Time) AskConfig {
+// buildRequest returns the next request for tokens, which reports every lease, and records it as sent.
+func (h *Holder) buildRequest(now time.Time) TokenRequestConfig {
 	h.sequence++
 	h.lastSent = now
 	h.inFlight = true
 	h.unreported = false
 	h.decayDemand(now)
-	a := AskConfig{
+	a := TokenRequestConfig{
 		Holder:   h.config.ID,
 		Sequence: h.sequence,
 		Target:   h.targetTokens(),
 		Waiting:  h.waiting,
-		Patience: h.config.Patience,
+		MaxWait:  h.config.MaxWait,
 	}
 	for _, l := range h.leases {
 		l.closing = l.closing || a.Target == 0 || !l.usable(now)
-		a.Reports = append(a.Reports, ReportConfig{Sequence: l.sequence, Spent: l.spent, Closed: l.closing})
+		a.Reports = append(a.Reports, LeaseReportConfig{Sequence: l.sequence, Spent: l.spent, Closed: l.closing})
 	}
 	return a
 }
--- a/internal/policy/bucket/message.go
+++ b/internal/policy/bucket/message.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ReportConfig reports how much of one lease its holder has spent.
-type ReportConfig struct {
+// LeaseReportConfig reports how much of one lease its holder has spent.
+type LeaseReportConfig struct {
 	// Sequence is the number of the request that the lease answered.
 	Sequence uint64
 	// Spent is the number of tokens spent from the lease since it was granted.
@@ -15,20 +15,20 @@
 	Closed bool
 }
 
-// AskConfig is a holder's request for tokens.
-type AskConfig struct {
+// TokenRequestConfig is a holder's request for tokens.
+type TokenRequestConfig struct {
 	// Holder identifies the holder.
 	Holder HolderID
 	// Sequence numbers the holder's requests from 1; the holder ignores answers to all but the last.
 	Sequence uint64
 	// Reports has an entry for every lease that the holder still has; the bucket closes any other.
-	Reports []ReportConfig
+	Reports []LeaseReportConfig
 	// Target is the number of tokens that the holder wants to hold.
 	Target int
 	// Waiting is the number of requests that wait at the holder for a token.
 	Waiting int
-	// Patience is how long the holder's requests may wait for a token.
-	Patience time.Duration
+	// MaxWait is how long the holder's requests may wait for a token.
+	MaxWait time.Duration
 }
 
 // GrantConfig configures a Grant.
--- a/internal/policy/claim/table.go
+++ b/internal/policy/claim/table.go
@@ -36,8 +36,8 @@
 	StateFinished
 	// StateUnknown means that the attempt ended without a known outcome and may have run.
 	StateUnknown
-	// StateFreed means that the attempt is known not to have run, so that another one may claim the key.
-	StateFreed
+	// StateNotRun means that the attempt is known not to have run, so that another one may claim the key.
+	StateNotRun
 )
 
 // Verdict is the answer to a claim. The zero Verdict is none of them.
@@ -92,11 +92,11 @@
 type Config struct {
 	// Retention is how long an entry is kept after its last change.
 	Retention time.Duration
-	// RunTime is how long an attempt counts as running before its outcome counts as unknown.
-	RunTime time.Duration
-	// Lost is when earlier claims of the shard were lost, zero if none were. A key without an entry is refused until
+	// RunTimeout is how long an attempt counts as running before its outcome counts as unknown.
+	RunTimeout time.Duration
+	// LostAt is when earlier claims of the shard were lost, zero if none were. A key without an entry is refused until
 	// Retention after that time, as it may have been claimed before the loss.
-	Lost time.Time
+	LostAt time.Time
 }
 
 // Table holds the claims of one shard. It is not safe for concurrent use.
@@ -119,8 +119,8 @@
 	return &Table{config: c, entries: map[Key]Entry{}}
 }
 
-// Lost returns when earlier claims of the shard were lost, zero if none were.
-func (t *Table) Lost() time.Time { return t.config.Lost }
+// LostAt returns when earlier claims of the shard were lost, zero if none were.
+func (t *Table) LostAt() time.Time { return t.config.LostAt }
 
 // Len returns the number of entries, some of which may be past the retention.
 func (t *Table) Len() int { return len(t.entries) }
@@ -194,7 +194,7 @@
 	case StateUnknown:
 		return VerdictUnknown
 	case StateRunning:
-		if now.Sub(e.Since()) >= t.config.RunTime {
+		if now.Sub(e.Since()) >= t.config.RunTimeout {
 			return VerdictUnknown
 		}
 		return VerdictRunning
@@ -206,7 +206,7 @@
 
 // mayHaveLost reports whether a key without an entry may have been claimed before the loss of earlier claims.
 func (t *Table) mayHaveLost(now time.Time) bool {
-	return !t.config.Lost.IsZero() && now.Sub(t.config.Lost) < t.config.Retention
+	return !t.config.LostAt.IsZero() && now.Sub(t.config.LostAt) < t.config.Retention
 }
 
 // Finish records how an attempt ended and reports whether the entry has changed and must be replicated. It ignores an
@@ -228,7 +228,7 @@
 
 // finishUnknownKey records the end of an attempt whose claim has not arrived, so that a delayed claim is not granted.
 func (t *Table) finishUnknownKey(k Key, a AttemptID, s State, now time.Time) bool {
-	if s == StateFreed && t.mayHaveLost(now) {
+	if s == StateNotRun && t.mayHaveLost(now) {
 		return false
 	}
 	t.Put(k, NewEntry(EntryConfig{State: s, Attempt: a, Since: now}))
--- a/internal/policy/claim/table_test.go
+++ b/internal/policy/claim/table_test.go
@@ -17,7 +17,7 @@
 var epoch = time.Unix(1_000_000, 0)
 
 func newTable() *Table {
-	return New(Config{Retention: testRetention, RunTime: testRunTime})
+	return New(Config{Retention: testRetention, RunTimeout: testRunTime})
 }
 
 func TestVerdictOnSecondAttempt(t *testing.T) {
@@ -33,7 +33,7 @@
 		{"sooner than allowed", func(*Table) {}, time.Millisecond, VerdictTooSoon},
 		{"after the first finished", finish(StateFinished), time.Second, VerdictAlreadyRun},
 		{"after the first failed", finish(StateUnknown), time.Second, VerdictUnknown},
-		{"after the first was not run", finish(StateFreed), time.Second, VerdictGranted},
+		{"after the first was not run", finish(StateNotRun), time.Second, VerdictGranted},
 		{"after the retention", finish(StateFinished), testRetention + time.Second, VerdictGranted},
 	}
 	for _, tt := range tests {
@@ -53,9 +53,9 @@
 }
 
 func TestClaimThatMayPredateALossIsUnknown(t *testing.T) {
-	b := New(Config{Retention: testRetention, RunTime: testRunTime, Lost: epoch})
+	b := New(Config{Retention: testRetention, RunTimeout: testRunTime, LostAt: epoch})
 	k := NewKey("c", "s", "i")
-	b.Finish(k, "early", StateFreed, epoch)
+	b.Finish(k, "early", StateNotRun, epoch)
 	v, _ := b.Claim(k, "first", 0, epoch.Add(testRetention-1))
 	assert.Equal(t, v, VerdictUnknown)
 	v, _ = b.Claim(k, "first", 0, epoch.Add(testRetention))
@@ -87,7 +87,7 @@
 				continue
 			}
 			if _, ok := ended[a]; !ok {
-				ended[a] = StateFreed
+				ended[a] = StateNotRun
 				if ran[a] {
 					ended[a] = rapid.SampledFrom([]State{StateFinished, StateUnknown}).Draw(t, "end")
 				}
--- a/internal/policy/quota/debt_test.go
+++ b/internal/policy/quota/debt_test.go
@@ -41,23 +41,23 @@
 	p := newTable()
 	l := limit(10, 10)
 	now := start.Add(window)
-	paid := p.Pay(now, "valv", l, 1, 3)
+	paid := p.Settle(now, "valv", l, 1, 3)
 	assert.Equal(t, paid, 3)
 	for range 100 {
 		p.Take(now, "valv", l, 1)
 	}
-	assert.Equal(t, p.Pay(now, "valv", l, 1, 3), 0)
+	assert.Equal(t, p.Settle(now, "valv", l, 1, 3), 0)
 }
 
 func TestTransferConservesTokens(t *testing.T) {
 	from, to := newTable(), newTable()
 	l := limit(10, 10)
 	now := start.Add(window)
-	tokens := from.Spare(now, figpier.CustomerID("valv"), l, 0.5)
+	tokens := from.TakeAll(now, figpier.CustomerID("valv"), l, 0.5)
 	assert.Assert(t, tokens > 0)
 	_, left := from.Take(now, "valv", l, 0.5)
 	assert.Assert(t, !left, "transferred tokens can't be spent here")
-	to.Receive("valv", tokens)
+	to.Add("valv", tokens)
 	taken := 0
 	for {
 		if _, ok := to.Take(start, "valv", l, 0.5); !ok {
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -31,8 +31,8 @@
 	Overage float64
 	// Slack is the number of requests by which the fleet may exceed a limit within the window in addition to Overage.
 	Slack float64
-	// Opened is the time from which empty buckets are filled, since earlier spending is not known.
-	Opened time.Time
+	// Start is the time from which empty buckets are filled, since earlier spending is not known.
+	Start time.Time
 }
 
 // Table holds a token bucket for each recently active customer. It is not safe for concurrent use.
@@ -51,7 +51,7 @@
 	updated time.Time
 }
 
-// New returns a table whose buckets are empty at the time Opened.
+// New returns a table whose buckets are empty at Config.Start.
 func New(c Config) *Table {
 	return &Table{config: c, buckets: map[figpier.CustomerID]*bucket{}}
 }
@@ -75,8 +75,8 @@
 	return rest * float64(polling) / float64(max(1, polling, nodes))
 }
 
-// AloneShare returns the fraction of a limit that a node spends in addition to NodeShare while no control instance answers.
-func (t *Table) AloneShare(l figpier.Limit, nodes int) float64 {
+// IsolatedShare returns the fraction of a limit that a node spends in addition to NodeShare while no control instance answers.
+func (t *Table) IsolatedShare(l figpier.Limit, nodes int) float64 {
 	if nodes == 0 {
 		return 0
 	}
@@ -91,8 +91,8 @@
 	return loanExcessFraction * t.allowedExcess(l) / float64(nodes)
 }
 
-// Pay spends up to owed tokens of a share for requests that a node admitted on credit, and returns the number spent.
-func (t *Table) Pay(now time.Time, c figpier.CustomerID, l figpier.Limit, share float64, owed int) (paid int) {
+// Settle spends up to owed tokens of a share for requests that a node admitted on credit, and returns the number spent.
+func (t *Table) Settle(now time.Time, c figpier.CustomerID, l figpier.Limit, share float64, owed int) (paid int) {
 	for paid < owed {
 		if _, ok := t.Take(now, c, l, share); !ok {
 			return paid
@@ -102,8 +102,8 @@
 	return paid
 }
 
-// Spare takes all whole tokens of a customer for transfer to another table. A customer that is active here has few.
-func (t *Table) Spare(now time.Time, c figpier.CustomerID, l figpier.Limit, share float64) (tokens int) {
+// TakeAll takes all whole tokens of a customer for transfer to another table. A customer that is active here has few.
+func (t *Table) TakeAll(now time.Time, c figpier.CustomerID, l figpier.Limit, share float64) (tokens int) {
 	if l.Rate() <= 0 || share <= 0 {
 		return 0
 	}
@@ -113,8 +113,8 @@
 	return tokens
 }
 
-// Receive adds tokens from Spare of another table. Tokens above the depth of the share are discarded at the next refill.
-func (t *Table) Receive(c figpier.CustomerID, tokens int) {
+// Add adds tokens from TakeAll of another table. Tokens above the depth of the share are discarded at the next refill.
+func (t *Table) Add(c figpier.CustomerID, tokens int) {
 	t.bucket(c).tokens += float64(tokens)
 }
 
@@ -159,7 +159,7 @@
 func (t *Table) bucket(c figpier.CustomerID) *bucket {
 	b, known := t.buckets[c]
 	if !known {
-		b = &bucket{updated: t.config.Opened}
+		b = &bucket{updated: t.config.Start}
 		t.buckets[c] = b
 	}
 	return b
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -15,7 +15,7 @@
 const window = 5 * time.Second
 
 func newTable() *Table {
-	return New(Config{Window: window, Overage: 0.1, Slack: 20, Opened: start})
+	return New(Config{Window: window, Overage: 0.1, Slack: 20, Start: start})
 }
 
 func limit(rate, burst float64) figpier.Limit {
@@ -31,7 +31,7 @@
 				sum += p.PoolShare(l, polling, nodes)
 			}
 			assert.Assert(t, sum < 1.000001, "limit %v over %d nodes: %v", l, nodes, sum)
-			alone := (p.NodeShare(l, nodes) + p.AloneShare(l, nodes)) * float64(nodes)
+			alone := (p.NodeShare(l, nodes) + p.IsolatedShare(l, nodes)) * float64(nodes)
 			assert.Assert(t, alone < 1.000001, "limit %v over %d nodes alone: %v", l, nodes, alone)
 		}
 	}
@@ -75,7 +75,7 @@
 func TestSharesAreZeroForUnknownNodeCount(t *testing.T) {
 	p := newTable()
 	assert.Equal(t, p.NodeShare(limit(5000, 5000), 0), 0.0)
-	assert.Equal(t, p.AloneShare(limit(5000, 5000), 0), 0.0)
+	assert.Equal(t, p.IsolatedShare(limit(5000, 5000), 0), 0.0)
 	assert.Equal(t, p.Loan(limit(5000, 5000), 0), 0.0)
 }
 
--- a/internal/policy/replica/cluster_test.go
+++ b/internal/policy/replica/cluster_test.go
@@ -85,7 +85,7 @@
 	}
 	c.members = NewMembers(founders...)
 	c.lastCommitted = 1
-	c.nodes[0].machine.Found(c.now, "log", c.members, nil)
+	c.nodes[0].machine.Bootstrap(c.now, "log", c.members, nil)
 	c.collect(c.nodes[0])
 	for len(c.nodes[0].pending) > 0 {
 		c.writeNext(c.nodes[0])
@@ -108,8 +108,8 @@
 	n.applied = nil
 	n.machine = New(Config{
 		Self: n.id, Address: string(n.id),
-		Heartbeat: testHeartbeat, Election: testElection, LearnerTimeout: time.Minute,
-		BatchBytes: 16, PartBytes: 8, Trailing: 2,
+		Heartbeat: testHeartbeat, ElectionTimeout: testElection, LearnerTimeout: time.Minute,
+		BatchBytes: 16, PartBytes: 8, TrailingEntries: 2,
 		Random: c.random, Now: c.now,
 		State: n.disk.state, Snapshot: n.disk.snapshot, Entries: slices.Clone(n.disk.entries),
 	})
@@ -119,7 +119,7 @@
 // collect takes the effects of a member, queues them, applies the committed entries and checks that each term has at
 // most one leader.
 func (c *cluster) collect(n *node) {
-	e := n.machine.Take()
+	e := n.machine.TakeEffects()
 	n.pending = append(n.pending, e)
 	if s := e.Restore(); s != nil {
 		n.applied = strings.Fields(string(s.Data()))
@@ -182,8 +182,8 @@
 	n.pending = n.pending[1:]
 	n.disk.write(e)
 	c.inFlight = append(c.inFlight, e.Messages()...)
-	if e.Writes() {
-		n.machine.Durable(c.now, e)
+	if e.HasWrites() {
+		n.machine.WritesDurable(c.now, e)
 		c.collect(n)
 	}
 }
@@ -274,7 +274,7 @@
 	states := ""
 	for _, n := range c.nodes {
 		m := n.machine
-		states += fmt.Sprintf("\n%s term %d commit %d last %d leader %s members %v", n.id, m.Term(), m.Commit(), m.log.lastIndex(), m.leader, m.Members().list)
+		states += fmt.Sprintf("\n%s term %d commit %d last %d leader %s members %v", n.id, m.Term(), m.CommitIndex(), m.log.lastIndex(), m.leader, m.Members().list)
 	}
 	c.fatalf("the cluster has not settled, %d entries are committed:%s", c.lastCommitted, states)
 }
@@ -282,7 +282,7 @@
 // settled reports whether every node is a voter, knows a leader and has all committed entries.
 func (c *cluster) settled() bool {
 	for _, n := range c.nodes {
-		if n.machine.Commit() < c.lastCommitted || n.machine.Leader() == "" || !c.toleratesDiskLoss() {
+		if n.machine.CommitIndex() < c.lastCommitted || n.machine.Leader() == "" || !c.toleratesDiskLoss() {
 			return false
 		}
 	}
--- a/internal/policy/replica/effects.go
+++ b/internal/policy/replica/effects.go
@@ -33,13 +33,13 @@
 // Committed returns the newly committed entries, to be applied to the state machine in this order.
 func (e *Effects) Committed() []*Entry { return e.committed }
 
-// Writes reports whether the effects hold a state, entries or a snapshot to make durable.
-func (e *Effects) Writes() bool {
+// HasWrites reports whether the effects hold a state, entries or a snapshot to make durable.
+func (e *Effects) HasWrites() bool {
 	return e.state != nil || len(e.entries) > 0 || e.snapshot != nil
 }
 
-// Last returns the index and term of the last entry that is durable after the writes, or zeros if they change no entry.
-func (e *Effects) Last() (index, term uint64) {
+// LastDurable returns the index and term of the last entry that is durable after the writes, or zeros if they change no entry.
+func (e *Effects) LastDurable() (index, term uint64) {
 	if n := len(e.entries); n > 0 {
 		return e.entries[n-1].Index(), e.entries[n-1].Term()
 	}
--- a/internal/policy/replica/election.go
+++ b/internal/policy/replica/election.go
@@ -93,7 +93,7 @@
 	if m.role == leader {
 		return true
 	}
-	return m.leader != "" && now.Sub(m.leaderHeardAt) < m.config.Election
+	return m.leader != "" && now.Sub(m.leaderHeardAt) < m.config.ElectionTimeout
 }
 
 // onVoteRequest answers a vote request or a pre-vote. The vote goes to a candidate whose log is at least as up to date as
@@ -149,7 +149,7 @@
 	m.countVotes(now)
 }
 
-// onTimeoutNow starts an election without waiting for the timeout, at the request of a leader that resigns.
+// onTimeoutNow starts an election without waiting for the timeout, at the request of a leader that transfers its leadership.
 func (m *Machine) onTimeoutNow(now time.Time, c MessageConfig) {
 	if c.Term != m.state.Term || c.From != m.leader || !m.log.members.IsVoter(m.config.Self) {
 		return
@@ -157,9 +157,9 @@
 	m.startElection(now, true)
 }
 
-// Resign asks the voter with the longest matching log to start an election. It reports false if this member does not
+// TransferLeadership asks the voter with the longest matching log to start an election. It reports false if this member does not
 // lead or there is no other voter. The member leads until it sees the new term.
-func (m *Machine) Resign() bool {
+func (m *Machine) TransferLeadership() bool {
 	if m.role != leader {
 		return false
 	}
--- a/internal/policy/replica/leader.go
+++ b/internal/policy/replica/leader.go
@@ -25,7 +25,7 @@
 	if now.Before(m.nextHeartbeat) {
 		return
 	}
-	if now.Sub(m.quorumContact(now)) > m.config.Election {
+	if now.Sub(m.quorumContact(now)) > m.config.ElectionTimeout {
 		m.becomeFollower(now, m.state.Term)
 		return
 	}
--- a/internal/policy/replica/machine.go
+++ b/internal/policy/replica/machine.go
@@ -29,20 +29,20 @@
 	Address string
 	// Heartbeat is the interval between heartbeats of a leader.
 	Heartbeat time.Duration
-	// Election is the minimum election timeout; the timeout is chosen at random between this and twice this.
-	Election time.Duration
+	// ElectionTimeout is the minimum election timeout; the timeout is chosen at random between this and twice this.
+	ElectionTimeout time.Duration
 	// LearnerTimeout is how long a learner may go without answering before it is removed.
 	LearnerTimeout time.Duration
-	// Voters is the number of voters above which one that does not answer is removed, 0 to keep all.
-	Voters int
-	// VoterTimeout is how long a voter may go without answering before it is removed, if there are more than Voters.
+	// TargetVoters is the number of voters above which one that does not answer is removed, 0 to keep all.
+	TargetVoters int
+	// VoterTimeout is how long a voter may go without answering before it is removed, if there are more than TargetVoters.
 	VoterTimeout time.Duration
 	// BatchBytes limits the total size of the commands in an append message, except that one command is always sent.
 	BatchBytes int
 	// PartBytes limits the size of the part of a snapshot in one message.
 	PartBytes int
-	// Trailing is the number of entries before the end of a snapshot that stay in memory for followers that lag behind.
-	Trailing uint64
+	// TrailingEntries is the number of entries before the end of a snapshot that stay in memory for followers that lag behind.
+	TrailingEntries uint64
 	// Random draws the election timeouts.
 	Random *rand.Rand
 	// Now is the time at which the member starts.
@@ -82,7 +82,7 @@
 	pendingJoins map[MemberID]Member
 	// termStartIndex is the index of the first entry of the leader's term.
 	termStartIndex uint64
-	// lastQuorumContact is the latest known time at which a quorum followed the leader, see Contact.
+	// lastQuorumContact is the latest known time at which a quorum followed the leader, see LastQuorumContact.
 	lastQuorumContact time.Time
 	// answerTimes are the times at which this member answered the leader's messages.
 	answerTimes messageTimes
@@ -109,8 +109,8 @@
 	return m
 }
 
-// Take returns the effects accumulated since the last call. It is called after each of the other methods.
-func (m *Machine) Take() *Effects {
+// TakeEffects returns the effects accumulated since the last call. It is called after each of the other methods.
+func (m *Machine) TakeEffects() *Effects {
 	e := m.effects
 	m.effects = &Effects{}
 	return e
@@ -170,10 +170,10 @@
 	return nil
 }
 
-// Durable tells the member that the writes of the effects, and all earlier ones, are on disk. A leader then counts
+// WritesDurable tells the member that the writes of the effects, and all earlier ones, are on disk. A leader then counts
 // itself toward the quorum for these entries.
-func (m *Machine) Durable(now time.Time, e *Effects) {
-	index, term := e.Last()
+func (m *Machine) WritesDurable(now time.Time, e *Effects) {
+	index, term := e.LastDurable()
 	if t, ok := m.log.termAt(index); !ok || t != term || index <= m.durableIndex {
 		return
 	}
@@ -196,7 +196,7 @@
 		Members: m.log.membersAt(m.commitIndex),
 		Data:    data,
 	})
-	m.log.compact(s, m.config.Trailing)
+	m.log.compact(s, m.config.TrailingEntries)
 	m.effects.snapshot = s
 	m.effects.retained = slices.Clone(m.log.between(s.Index(), m.log.lastIndex()))
 }
@@ -222,11 +222,11 @@
 // Members returns the membership in effect, which may not be committed yet.
 func (m *Machine) Members() *Members { return m.log.members }
 
-// Commit returns the index of the last entry that this member knows to be committed.
-func (m *Machine) Commit() uint64 { return m.commitIndex }
+// CommitIndex returns the index of the last entry that this member knows to be committed.
+func (m *Machine) CommitIndex() uint64 { return m.commitIndex }
 
-// CompactedTo returns the index of the last entry that the newest snapshot covers, 0 without a snapshot.
-func (m *Machine) CompactedTo() uint64 {
+// SnapshotIndex returns the index of the last entry that the newest snapshot covers, 0 without a snapshot.
+func (m *Machine) SnapshotIndex() uint64 {
 	if m.log.snapshot == nil {
 		return 0
 	}
@@ -276,18 +276,18 @@
 	}
 }
 
-// resetElectionDeadline restarts the election timeout, between one and two times Config.Election. The random part
+// resetElectionDeadline restarts the election timeout, between one and two times Config.ElectionTimeout. The random part
 // keeps members from starting elections at the same time.
 func (m *Machine) resetElectionDeadline(now time.Time) {
-	jitter := time.Duration(m.config.Random.Int64N(int64(m.config.Election)))
-	m.electionDeadline = now.Add(m.config.Election + jitter)
+	jitter := time.Duration(m.config.Random.Int64N(int64(m.config.ElectionTimeout)))
+	m.electionDeadline = now.Add(m.config.ElectionTimeout + jitter)
 }
 
 // initialElectionTimeout returns how long a member waits for a leader after its start: a few heartbeats, and a random
-// time so that members that start together do not ask for votes together. It may be shorter than Config.Election,
+// time so that members that start together do not ask for votes together. It may be shorter than Config.ElectionTimeout,
 // because the followers of a live leader refuse the vote.
 func (m *Machine) initialElectionTimeout() time.Duration {
-	return startupHeartbeats*m.config.Heartbeat + time.Duration(m.config.Random.Int64N(int64(m.config.Election/2)))
+	return startupHeartbeats*m.config.Heartbeat + time.Duration(m.config.Random.Int64N(int64(m.config.ElectionTimeout/2)))
 }
 
 // commitTo moves the commit index forward and adds the newly committed entries to the effects.
--- a/internal/policy/replica/machine_test.go
+++ b/internal/policy/replica/machine_test.go
@@ -12,26 +12,26 @@
 
 // stepRates holds the probabilities of the steps of a test, in thousandths, and the longest time step in maxMillis.
 type stepRates struct {
-	advanceTime int
-	propose     int
-	resign      int
-	restart     int
-	remove      int
-	loseDisk    int
-	writeNext   int
-	maxMillis   int
+	advanceTime        int
+	propose            int
+	transferLeadership int
+	restart            int
+	remove             int
+	loseDisk           int
+	writeNext          int
+	maxMillis          int
 }
 
 func randomStepRates(c *cluster) stepRates {
 	return stepRates{
-		advanceTime: 20 + c.random.IntN(150),
-		propose:     10 + c.random.IntN(60),
-		resign:      c.random.IntN(2) * c.random.IntN(30),
-		restart:     2 + c.random.IntN(2)*c.random.IntN(40),
-		remove:      c.random.IntN(2) * c.random.IntN(20),
-		loseDisk:    c.random.IntN(10),
-		writeNext:   150 + c.random.IntN(400),
-		maxMillis:   20 + c.random.IntN(300),
+		advanceTime:        20 + c.random.IntN(150),
+		propose:            10 + c.random.IntN(60),
+		transferLeadership: c.random.IntN(2) * c.random.IntN(30),
+		restart:            2 + c.random.IntN(2)*c.random.IntN(40),
+		remove:             c.random.IntN(2) * c.random.IntN(20),
+		loseDisk:           c.random.IntN(10),
+		writeNext:          150 + c.random.IntN(400),
+		maxMillis:          20 + c.random.IntN(300),
 	}
 }
 
@@ -47,8 +47,8 @@
 		c.advanceTime(time.Duration(pick%rates.maxMillis) * time.Millisecond)
 	case chosen(rates.propose):
 		c.propose(n)
-	case chosen(rates.resign):
-		n.machine.Resign()
+	case chosen(rates.transferLeadership):
+		n.machine.TransferLeadership()
 		c.collect(n)
 	case chosen(rates.restart):
 		c.start(n)
@@ -131,7 +131,7 @@
 	for range 30 {
 		c.now = c.now.Add(testHeartbeat)
 		old.machine.Tick(c.now)
-		old.machine.Take()
+		old.machine.TakeEffects()
 		assert.Assert(t, old.machine.QuorumAge(c.now) >= c.now.Sub(cut))
 	}
 	assert.Assert(t, !old.machine.Leading())
@@ -150,7 +150,7 @@
 	}
 	for range 100 {
 		isolated.machine.Tick(isolated.machine.NextTick())
-		isolated.machine.Take()
+		isolated.machine.TakeEffects()
 	}
 	c.settle()
 	assert.Equal(t, c.leader().machine.Term(), term)
--- a/internal/policy/replica/membership.go
+++ b/internal/policy/replica/membership.go
@@ -11,9 +11,9 @@
 // maxMembers limits the number of members. A new incarnation of a member may join beyond it, to replace the old one.
 const maxMembers = 9
 
-// Found creates a new log, on a member without one, from the given members and initial state. It does nothing on a
+// Bootstrap creates a new log, on a member without one, from the given members and initial state. It does nothing on a
 // member that already belongs to a log.
-func (m *Machine) Found(now time.Time, cluster string, members *Members, data []byte) {
+func (m *Machine) Bootstrap(now time.Time, cluster string, members *Members, data []byte) {
 	if m.state.Cluster != "" {
 		return
 	}
@@ -67,11 +67,11 @@
 }
 
 // hasRecentQuorum reports whether a majority of the voters in a membership has answered a message that was sent within
-// the last Config.Election.
+// the last Config.ElectionTimeout.
 func (m *Machine) hasRecentQuorum(now time.Time, next *Members) bool {
 	recent := 0
 	for _, id := range next.Voters() {
-		if id == m.config.Self || now.Sub(m.followers[id].lastContact) <= m.config.Election {
+		if id == m.config.Self || now.Sub(m.followers[id].lastContact) <= m.config.ElectionTimeout {
 			recent++
 		}
 	}
@@ -130,10 +130,10 @@
 }
 
 // withoutSilentVoter returns the membership without a voter that has not answered for VoterTimeout, or nil if there is
-// none or there are no more than Config.Voters. This way a lost voter that was replaced no longer counts toward quorums.
+// none or there are no more than Config.TargetVoters. This way a lost voter that was replaced no longer counts toward quorums.
 // It joins again if it returns.
 func (m *Machine) withoutSilentVoter(now time.Time) *Members {
-	if m.config.Voters == 0 || len(m.log.members.Voters()) <= m.config.Voters {
+	if m.config.TargetVoters == 0 || len(m.log.members.Voters()) <= m.config.TargetVoters {
 		return nil
 	}
 	for _, id := range m.log.members.Voters() {
--- a/internal/policy/replica/membership_test.go
+++ b/internal/policy/replica/membership_test.go
@@ -110,19 +110,19 @@
 	late.Index, late.IndexTerm = 4, 2
 	n.machine.Receive(c.now, NewMessage(late))
 	assert.Equal(t, n.machine.log.lastIndex(), uint64(6))
-	assert.Equal(t, n.machine.Commit(), uint64(4))
+	assert.Equal(t, n.machine.CommitIndex(), uint64(4))
 }
 
 func TestOnlyVoterCommitsOnlyWhatIsDurable(t *testing.T) {
 	c := newCluster(t.Fatalf, 15)
 	n := c.newNode(0)
-	n.machine.Found(c.now, "alone", NewMembers(NewMember(MemberConfig{ID: n.id, Voter: true})), nil)
+	n.machine.Bootstrap(c.now, "alone", NewMembers(NewMember(MemberConfig{ID: n.id, Voter: true})), nil)
 	n.machine.Tick(c.now)
 	assert.NilError(t, n.machine.Propose(c.now, "p", []byte("p")))
-	e := n.machine.Take()
+	e := n.machine.TakeEffects()
 	assert.Equal(t, len(e.Committed()), 0)
-	n.machine.Durable(c.now, e)
-	assert.Equal(t, len(n.machine.Take().Committed()), 2)
+	n.machine.WritesDurable(c.now, e)
+	assert.Equal(t, len(n.machine.TakeEffects().Committed()), 2)
 }
 
 func TestRepeatedAppendRefusalIsNotResentBeforeTheHeartbeat(t *testing.T) {
@@ -137,14 +137,14 @@
 		Term: lead.machine.Term(), Sequence: lead.machine.followers[other.id].lastSequence,
 	}
 	lead.machine.Receive(c.now, NewMessage(refusal))
-	assert.Equal(t, len(lead.machine.Take().Messages()), 0)
+	assert.Equal(t, len(lead.machine.TakeEffects().Messages()), 0)
 }
 
 func TestSilentVoterAboveTheConfiguredNumberIsRemoved(t *testing.T) {
 	c := newCluster(t.Fatalf, 14)
 	c.settle()
 	lead := c.leader()
-	lead.machine.config.Voters, lead.machine.config.VoterTimeout = 2, 3*testHeartbeat
+	lead.machine.config.TargetVoters, lead.machine.config.VoterTimeout = 2, 3*testHeartbeat
 	lost := c.nodes[(nodeIndex(c, lead)+1)%3].id
 	c.settle()
 	assert.Equal(t, len(lead.machine.Members().Voters()), 3, "voters that answer stay")
--- a/internal/policy/replica/quorum_contact.go
+++ b/internal/policy/replica/quorum_contact.go
@@ -9,18 +9,18 @@
 // unknownAge is the quorum age when no contact is known.
 const unknownAge = time.Duration(math.MaxInt64)
 
-// QuorumAge returns the time since Contact, or the greatest duration if there was none.
+// QuorumAge returns the time since LastQuorumContact, or the greatest duration if there was none.
 func (m *Machine) QuorumAge(now time.Time) time.Duration {
-	c := m.Contact(now)
+	c := m.LastQuorumContact(now)
 	if c.IsZero() {
 		return unknownAge
 	}
 	return now.Sub(c)
 }
 
-// Contact returns the latest time at which a quorum is known to have followed the leader whose committed entries this
+// LastQuorumContact returns the latest time at which a quorum is known to have followed the leader whose committed entries this
 // member holds, or the zero time if there was none. No entry that was committed before that time is missing here.
-func (m *Machine) Contact(now time.Time) time.Time {
+func (m *Machine) LastQuorumContact(now time.Time) time.Time {
 	if m.role == leader && m.commitIndex >= m.termStartIndex {
 		if c := m.quorumContact(now); c.After(m.lastQuorumContact) {
 			m.lastQuorumContact = c
--- a/internal/policy/retry/decider.go
+++ b/internal/policy/retry/decider.go
@@ -21,26 +21,26 @@
 	sweepInterval = 10 * time.Second
 )
 
-// Pair is a customer at a service, for which the ratio of retries is limited.
-type Pair struct {
+// CustomerService is a customer at a service, for which the ratio of retries is limited.
+type CustomerService struct {
 	customer figpier.CustomerID
 	service  figpier.UpstreamService
 }
 
-// NewPair returns the pair of a customer and a service.
-func NewPair(c figpier.CustomerID, s figpier.UpstreamService) Pair {
-	return Pair{customer: c, service: s}
+// NewCustomerService returns the pair of a customer and a service.
+func NewCustomerService(c figpier.CustomerID, s figpier.UpstreamService) CustomerService {
+	return CustomerService{customer: c, service: s}
 }
 
 // Customer returns the customer.
-func (p Pair) Customer() figpier.CustomerID { return p.customer }
+func (p CustomerService) Customer() figpier.CustomerID { return p.customer }
 
 // Service returns the service.
-func (p Pair) Service() figpier.UpstreamService { return p.service }
+func (p CustomerService) Service() figpier.UpstreamService { return p.service }
 
 // Decider decides whether attempts are retried. It is not safe for concurrent use.
 type Decider struct {
-	credits   map[Pair]*credit
+	credits   map[CustomerService]*credit
 	services  map[figpier.UpstreamService]*attemptStats
 	lastSweep time.Time
 }
@@ -60,11 +60,11 @@
 
 // New returns a decider without attempts.
 func New() *Decider {
-	return &Decider{credits: map[Pair]*credit{}, services: map[figpier.UpstreamService]*attemptStats{}}
+	return &Decider{credits: map[CustomerService]*credit{}, services: map[figpier.UpstreamService]*attemptStats{}}
 }
 
 // CountFirstAttempt records a first attempt. share is the number of retries that it earns.
-func (d *Decider) CountFirstAttempt(now time.Time, p Pair, share float64) {
+func (d *Decider) CountFirstAttempt(now time.Time, p CustomerService, share float64) {
 	d.sweep(now)
 	c := d.creditOf(p)
 	c.balance = min(maxCredit, c.balance+share)
@@ -74,8 +74,8 @@
 
 // AttemptConfig holds the arguments of NewAttempt.
 type AttemptConfig struct {
-	// Pair is the customer at the service.
-	Pair Pair
+	// CustomerService is the customer at the service.
+	CustomerService CustomerService
 	// Kind is the outcome of the attempt.
 	Kind figpier.OutcomeKind
 	// Idempotent marks a request that may safely run more than once.
@@ -96,9 +96,9 @@
 // from the budget of the call tree, which returns 0 if none is left.
 func (d *Decider) MayRetry(now time.Time, a Attempt, take func(n int) int) (bool, figpier.RetryReason) {
 	c := a.config
-	d.creditOf(c.Pair).lastUsed = now
+	d.creditOf(c.CustomerService).lastUsed = now
 	if c.Kind == figpier.OutcomeOverloaded {
-		d.statsOf(now, c.Pair.service).overloaded++
+		d.statsOf(now, c.CustomerService.service).overloaded++
 	}
 	reason, safe := reasonFor(c.Kind, c.Idempotent)
 	switch {
@@ -106,14 +106,14 @@
 		return false, reason
 	case !now.Before(c.Deadline):
 		return false, figpier.NoRetryDeadline
-	case c.Kind == figpier.OutcomeOverloaded && d.Overloaded(now, c.Pair.service):
+	case c.Kind == figpier.OutcomeOverloaded && d.Overloaded(now, c.CustomerService.service):
 		return false, figpier.NoRetryOverload
-	case d.creditOf(c.Pair).balance < 1:
+	case d.creditOf(c.CustomerService).balance < 1:
 		return false, figpier.NoRetryShare
 	case take(1) == 0:
 		return false, figpier.NoRetryBudget
 	}
-	d.creditOf(c.Pair).balance--
+	d.creditOf(c.CustomerService).balance--
 	return true, reason
 }
 
@@ -143,7 +143,7 @@
 }
 
 // creditOf returns the credit of a pair, which starts at maxCredit.
-func (d *Decider) creditOf(p Pair) *credit {
+func (d *Decider) creditOf(p CustomerService) *credit {
 	c, ok := d.credits[p]
 	if !ok {
 		c = &credit{balance: maxCredit}
--- a/internal/policy/retry/pacer.go
+++ b/internal/policy/retry/pacer.go
@@ -23,9 +23,9 @@
 // NewPacer returns a pacer without attempts.
 func NewPacer() *Pacer { return &Pacer{lastAttempts: map[attemptKey]time.Time{}} }
 
-// Attempt returns the time that a caller must wait before the attempt, 0 when it may proceed. Only attempts that may
+// Wait returns the time that a caller must wait before the attempt, 0 when it may proceed. Only attempts that may
 // proceed are recorded.
-func (p *Pacer) Attempt(now time.Time, c figpier.CustomerID, k figpier.IdempotencyKey, interval time.Duration) time.Duration {
+func (p *Pacer) Wait(now time.Time, c figpier.CustomerID, k figpier.IdempotencyKey, interval time.Duration) time.Duration {
 	if k == "" || interval <= 0 {
 		return 0
 	}
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -58,12 +58,12 @@
 
 // attemptEvent is an event in the reference model, which stores all of them.
 type attemptEvent struct {
-	pair  Pair
+	pair  CustomerService
 	first bool
 }
 
 // modelCredit computes the credit of a pair by replaying all its events.
-func modelCredit(all []attemptEvent, p Pair, share float64) float64 {
+func modelCredit(all []attemptEvent, p CustomerService, share float64) float64 {
 	left := maxCredit
 	for _, e := range all {
 		if e.pair == p && e.first {
@@ -81,10 +81,10 @@
 		const share = 0.25
 		d, now := New(), time.Unix(0, 0)
 		var all []attemptEvent
-		firsts, retries := map[Pair]int{}, map[Pair]int{}
+		firsts, retries := map[CustomerService]int{}, map[CustomerService]int{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
-			p := NewPair(figpier.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), "booking")
+			p := NewCustomerService(figpier.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), "booking")
 			if rapid.IntRange(0, 2).Draw(t, "event") > 0 {
 				d.CountFirstAttempt(now, p, share)
 				firsts[p]++
@@ -92,7 +92,7 @@
 				continue
 			}
 			b := NewBudget(1)
-			a := NewAttempt(AttemptConfig{Pair: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
+			a := NewAttempt(AttemptConfig{CustomerService: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
 			ok, _ := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, modelCredit(all, p, share) >= 1)
 			if ok {
@@ -130,7 +130,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d, p, b := New(), NewPair("c", "booking"), NewBudget(c.budget)
+			d, p, b := New(), NewCustomerService("c", "booking"), NewBudget(c.budget)
 			for range 20 {
 				d.CountFirstAttempt(now, p, 0.1)
 			}
@@ -141,7 +141,7 @@
 			if c.late {
 				deadline = now
 			}
-			a := NewAttempt(AttemptConfig{Pair: p, Kind: c.kind, Idempotent: c.idempotent, Deadline: deadline})
+			a := NewAttempt(AttemptConfig{CustomerService: p, Kind: c.kind, Idempotent: c.idempotent, Deadline: deadline})
 			ok, reason := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, c.again)
 			assert.Equal(t, reason, c.want)
@@ -164,7 +164,7 @@
 			if k == "" {
 				want = 0
 			}
-			assert.Equal(t, p.Attempt(now, "c", k, interval), want)
+			assert.Equal(t, p.Wait(now, "c", k, interval), want)
 			if want == 0 {
 				passed[k] = append(passed[k], now)
 			}
--- a/internal/policy/routing/routing.go
+++ b/internal/policy/routing/routing.go
@@ -19,8 +19,8 @@
 	Seed uint64
 }
 
-// Table tracks the load and health of the members that a node calls. It is not safe for concurrent use.
-type Table struct {
+// Tracker tracks the load and health of the members that a node calls. It is not safe for concurrent use.
+type Tracker struct {
 	config Config
 	random *rand.Rand
 	states map[figpier.InstanceID]*memberState
@@ -29,8 +29,8 @@
 }
 
 // New returns a table without members.
-func New(c Config) *Table {
-	return &Table{
+func New(c Config) *Tracker {
+	return &Tracker{
 		config:   c,
 		random:   rand.New(rand.NewPCG(c.Seed, c.Seed)),
 		states:   map[figpier.InstanceID]*memberState{},
@@ -47,15 +47,15 @@
 	Picked Verdict = iota
 	// Refused means that every available member would refuse the rank of the call.
 	Refused
-	// Nobody means that no member is available.
-	Nobody
+	// NoMember means that no member is available.
+	NoMember
 )
 
 // Pick selects a member of a service for a call of the rank, excluding those already tried.
-func (t *Table) Pick(now time.Time, s figpier.UpstreamService, members []*figpier.Member, r figpier.Rank, tried []figpier.InstanceID) (*figpier.Member, Verdict) {
+func (t *Tracker) Pick(now time.Time, s figpier.UpstreamService, members []*figpier.Member, r figpier.Rank, tried []figpier.InstanceID) (*figpier.Member, Verdict) {
 	candidates := t.candidates(now, s, members, tried)
 	if len(candidates) == 0 {
-		return nil, Nobody
+		return nil, NoMember
 	}
 	accepting := filterMembers(candidates, func(m *figpier.Member) bool {
 		return !t.states[m.Instance()].refuses(now, r)
@@ -73,7 +73,7 @@
 }
 
 // candidates returns the members that are not draining, ejected or already tried, and records which members accept calls.
-func (t *Table) candidates(now time.Time, s figpier.UpstreamService, members []*figpier.Member, tried []figpier.InstanceID) []*figpier.Member {
+func (t *Tracker) candidates(now time.Time, s figpier.UpstreamService, members []*figpier.Member, tried []figpier.InstanceID) []*figpier.Member {
 	previousPick, pickedBefore := t.lastPick[s]
 	t.lastPick[s] = now
 	var all []*figpier.Member
@@ -90,7 +90,7 @@
 }
 
 // markAvailable records that a member accepts calls. Slow start begins if it did not at the previous pick of its service.
-func (t *Table) markAvailable(now time.Time, id figpier.InstanceID, previousPick time.Time, pickedBefore bool) *memberState {
+func (t *Tracker) markAvailable(now time.Time, id figpier.InstanceID, previousPick time.Time, pickedBefore bool) *memberState {
 	st, ok := t.states[id]
 	if !ok {
 		st = &memberState{}
@@ -104,7 +104,7 @@
 }
 
 // nearest returns the members at the shortest distance.
-func (t *Table) nearest(members []*figpier.Member) []*figpier.Member {
+func (t *Tracker) nearest(members []*figpier.Member) []*figpier.Member {
 	var best []*figpier.Member
 	distance := otherRegion + 1
 	for _, m := range members {
@@ -126,7 +126,7 @@
 	otherRegion
 )
 
-func (t *Table) distance(m *figpier.Member) int {
+func (t *Tracker) distance(m *figpier.Member) int {
 	switch {
 	case m.DataCentre() == t.config.DataCentre:
 		return sameDataCentre
@@ -137,7 +137,7 @@
 }
 
 // lessLoadedOfTwo selects two random members and returns the less loaded one.
-func (t *Table) lessLoadedOfTwo(now time.Time, members []*figpier.Member) *figpier.Member {
+func (t *Tracker) lessLoadedOfTwo(now time.Time, members []*figpier.Member) *figpier.Member {
 	i := t.random.IntN(len(members))
 	if len(members) == 1 {
 		return members[i]
@@ -154,7 +154,7 @@
 }
 
 // Begin records the start of a call to a member.
-func (t *Table) Begin(m *figpier.Member) {
+func (t *Tracker) Begin(m *figpier.Member) {
 	st := t.stateOf(m.Instance())
 	st.member = m
 	st.inFlight++
@@ -162,7 +162,7 @@
 
 // End records the outcome of a call to a member and the cut-off in its answer, figpier.MaxRank for none. members are all
 // members of the service, which limit ejections.
-func (t *Table) End(now time.Time, m *figpier.Member, members []*figpier.Member, k figpier.OutcomeKind, cutOff figpier.Rank) {
+func (t *Tracker) End(now time.Time, m *figpier.Member, members []*figpier.Member, k figpier.OutcomeKind, cutOff figpier.Rank) {
 	st := t.stateOf(m.Instance())
 	st.inFlight = max(0, st.inFlight-1)
 	switch k {
@@ -189,14 +189,14 @@
 
 // othersAnswer reports whether another member of the service has answered recently. Only then is a silent member itself at
 // fault, and not a service that all members depend on.
-func (t *Table) othersAnswer(now time.Time, m *figpier.Member, members []*figpier.Member) bool {
+func (t *Tracker) othersAnswer(now time.Time, m *figpier.Member, members []*figpier.Member) bool {
 	return slices.ContainsFunc(members, func(o *figpier.Member) bool {
 		return o.Instance() != m.Instance() && !t.stateOf(o.Instance()).silent(now)
 	})
 }
 
 // mayEject reports whether the number of ejected members is below the limit.
-func (t *Table) mayEject(now time.Time, members []*figpier.Member) bool {
+func (t *Tracker) mayEject(now time.Time, members []*figpier.Member) bool {
 	ejected := 0
 	for _, m := range members {
 		if t.stateOf(m.Instance()).ejected(now) {
@@ -211,7 +211,7 @@
 }
 
 // CutOff returns the lowest rank that every available member refuses, figpier.MaxRank when there is none.
-func (t *Table) CutOff(now time.Time, members []*figpier.Member) figpier.Rank {
+func (t *Tracker) CutOff(now time.Time, members []*figpier.Member) figpier.Rank {
 	var highest figpier.Rank
 	for _, m := range members {
 		if st := t.stateOf(m.Instance()); !m.Draining() && !st.ejected(now) {
@@ -225,7 +225,7 @@
 }
 
 // Ejected calls f for each ejected member with the time of its ejection.
-func (t *Table) Ejected(now time.Time, f func(m *figpier.Member, since time.Time)) {
+func (t *Tracker) Ejected(now time.Time, f func(m *figpier.Member, since time.Time)) {
 	for _, st := range t.states {
 		if st.ejected(now) {
 			f(st.member, st.ejectedAt)
@@ -234,7 +234,7 @@
 }
 
 // Forget removes members that have no calls in flight and were last available longer than after ago.
-func (t *Table) Forget(now time.Time, after time.Duration) {
+func (t *Tracker) Forget(now time.Time, after time.Duration) {
 	for id, st := range t.states {
 		if st.inFlight == 0 && now.Sub(st.lastSeen) > after {
 			delete(t.states, id)
@@ -242,7 +242,7 @@
 	}
 }
 
-func (t *Table) stateOf(id figpier.InstanceID) *memberState {
+func (t *Tracker) stateOf(id figpier.InstanceID) *memberState {
 	st, ok := t.states[id]
 	if !ok {
 		st = &memberState{}
--- a/internal/policy/routing/routing_test.go
+++ b/internal/policy/routing/routing_test.go
@@ -40,14 +40,14 @@
 
 // modelCandidates returns the members that may be picked: free ones before full ones and, of these, near ones before far ones.
 func modelCandidates(all []*modelMember, now time.Time, r figpier.Rank, tried []figpier.InstanceID) (candidates []*modelMember, verdict Verdict) {
-	verdict = Nobody
+	verdict = NoMember
 	for _, free := range []bool{true, false} {
 		for place := range places {
 			for _, candidate := range all {
 				if candidate.place != place || !candidate.available(now, tried) {
 					continue
 				}
-				if verdict == Nobody {
+				if verdict == NoMember {
 					verdict = Refused
 				}
 				if r < candidate.cutOff && (!free || candidate.inFlight < candidate.member.Slots()) {
@@ -119,7 +119,7 @@
 }
 
 // endCall ends a call at a random member that has one, in the table and in the model.
-func endCall(t *rapid.T, table *Table, all []*modelMember, members []*figpier.Member, now time.Time) {
+func endCall(t *rapid.T, table *Tracker, all []*modelMember, members []*figpier.Member, now time.Time) {
 	model := rapid.SampledFrom(all).Draw(t, "member")
 	if model.inFlight == 0 {
 		return
--- a/internal/policy/shard/assigner.go
+++ b/internal/policy/shard/assigner.go
@@ -20,8 +20,8 @@
 	Backups int
 	// LeaseTime is the duration of a control lease.
 	LeaseTime time.Duration
-	// ClockError is the most by which two clocks may drift apart during a lease.
-	ClockError time.Duration
+	// MaxClockDrift is the most by which two clocks may drift apart during a lease.
+	MaxClockDrift time.Duration
 	// LossTime is how long all members of a replicated shard must be gone before its state is given up as lost.
 	LossTime time.Duration
 }
@@ -30,7 +30,7 @@
 // It only proposes assignments: the caller puts them through the control log, which applies them to the map.
 type Assigner struct {
 	config      AssignerConfig
-	assignments *Map
+	assignments *Assignments
 	hosts       map[MemberID]*Host
 	// revokeAfter is the time from which shards may be taken from a primary, as all leases of earlier leaders are over.
 	revokeAfter time.Time
@@ -44,7 +44,7 @@
 
 // NewAssigner returns an assigner over the map that the control log drives. It changes no existing assignment on its own
 // before revokeAfter, by when the leases that earlier leaders granted must have expired.
-func NewAssigner(c AssignerConfig, m *Map, revokeAfter time.Time) *Assigner {
+func NewAssigner(c AssignerConfig, m *Assignments, revokeAfter time.Time) *Assigner {
 	return &Assigner{
 		config:         c,
 		assignments:    m,
@@ -248,10 +248,10 @@
 	return alive
 }
 
-// isAlive reports whether a host may still hold a control lease, with ClockError as a margin.
+// isAlive reports whether a host may still hold a control lease, with MaxClockDrift as a margin.
 func (s *Assigner) isAlive(m MemberID, now time.Time) bool {
 	h, ok := s.hosts[m]
-	return ok && !h.leasedAt.IsZero() && now.Before(h.leasedAt.Add(s.config.LeaseTime+s.config.ClockError))
+	return ok && !h.leasedAt.IsZero() && now.Before(h.leasedAt.Add(s.config.LeaseTime+s.config.MaxClockDrift))
 }
 
 // goneFor returns how long the primary and all backups have been without a lease, counted from revokeAfter at the
--- a/internal/policy/shard/assignment.go
+++ b/internal/policy/shard/assignment.go
@@ -76,24 +76,24 @@
 	return a.config.Primary == m || slices.Contains(a.config.Backups, m) || slices.Contains(a.config.Joining, m)
 }
 
-// Map holds the newest assignment of each shard. It is part of the state machine that the control log drives.
-type Map struct {
+// Assignments holds the newest assignment of each shard. It is part of the state machine that the control log drives.
+type Assignments struct {
 	term        string
 	assignments map[ID]*Assignment
 }
 
-// NewMap returns a map without assignments and without a term.
-func NewMap() *Map { return &Map{assignments: map[ID]*Assignment{}} }
+// NewAssignments returns a map without assignments and without a term.
+func NewAssignments() *Assignments { return &Assignments{assignments: map[ID]*Assignment{}} }
 
-// Begin starts the term of a new leader. From then on, assignments decided in earlier terms are rejected.
-func (m *Map) Begin(term string) { m.term = term }
+// BeginTerm starts the term of a new leader. From then on, assignments decided in earlier terms are rejected.
+func (m *Assignments) BeginTerm(term string) { m.term = term }
 
 // Term returns the identifier of the current term, empty before the first.
-func (m *Map) Term() string { return m.term }
+func (m *Assignments) Term() string { return m.term }
 
 // Apply installs an assignment if it was decided in the current term and has the next epoch of its shard. It reports
 // whether it did.
-func (m *Map) Apply(term string, a *Assignment) bool {
+func (m *Assignments) Apply(term string, a *Assignment) bool {
 	var current Epoch
 	if p, ok := m.assignments[a.Shard()]; ok {
 		current = p.Epoch()
@@ -106,16 +106,16 @@
 }
 
 // Restore installs an assignment from a snapshot, without checking its term or epoch.
-func (m *Map) Restore(a *Assignment) { m.assignments[a.Shard()] = a }
+func (m *Assignments) Restore(a *Assignment) { m.assignments[a.Shard()] = a }
 
 // Assignment returns the newest assignment of a shard, and false if it has none.
-func (m *Map) Assignment(s ID) (*Assignment, bool) {
+func (m *Assignments) Assignment(s ID) (*Assignment, bool) {
 	a, ok := m.assignments[s]
 	return a, ok
 }
 
 // All returns all assignments in ascending order of shard ID.
-func (m *Map) All() []*Assignment {
+func (m *Assignments) All() []*Assignment {
 	all := make([]*Assignment, 0, len(m.assignments))
 	for _, a := range m.assignments {
 		all = append(all, a)
--- a/internal/policy/shard/layout.go
+++ b/internal/policy/shard/layout.go
@@ -21,8 +21,8 @@
 // Replicated reports whether the state of a shard is kept on backups, which holds for claims but not for limits.
 func Replicated(s ID) bool { return s >= limitShards }
 
-// OfLimit returns the shard that holds a customer's token bucket for a service.
-func OfLimit(c figpier.CustomerID, s figpier.UpstreamService) ID {
+// ForLimit returns the shard that holds a customer's token bucket for a service.
+func ForLimit(c figpier.CustomerID, s figpier.UpstreamService) ID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(s))
 	_, _ = h.Write([]byte{0})
@@ -30,8 +30,8 @@
 	return ID(h.Sum32() % limitShards)
 }
 
-// OfClaim returns the shard that holds the claim with the given key.
-func OfClaim(k claim.Key) ID {
+// ForClaim returns the shard that holds the claim with the given key.
+func ForClaim(k claim.Key) ID {
 	n := uint32(k[0])<<24 | uint32(k[1])<<16 | uint32(k[2])<<8 | uint32(k[3])
 	return limitShards + ID(n%claimShards)
 }
--- a/internal/policy/shard/message.go
+++ b/internal/policy/shard/message.go
@@ -28,9 +28,9 @@
 	Sequence uint64
 }
 
-// Next returns the next message for a follower: the whole state first, then the writes in order. It returns false if the
+// NextMessage returns the next message for a follower: the whole state first, then the writes in order. It returns false if the
 // follower has all writes or this member is not the primary.
-func (r *Replica) Next(m MemberID) (MessageConfig, bool) {
+func (r *Replica) NextMessage(m MemberID) (MessageConfig, bool) {
 	f := r.followers[m]
 	if f == nil || !r.isPrimary() {
 		return MessageConfig{}, false
@@ -56,9 +56,9 @@
 	return MessageConfig{}, false
 }
 
-// Answered records a follower's answer to a message that was sent in the given epoch. An answer with a higher epoch means
+// HandleAnswer records a follower's answer to a message that was sent in the given epoch. An answer with a higher epoch means
 // that another primary may exist, so this member steps down.
-func (r *Replica) Answered(m MemberID, sent Epoch, a AnswerConfig) {
+func (r *Replica) HandleAnswer(m MemberID, sent Epoch, a AnswerConfig) {
 	if a.Epoch > r.epoch {
 		r.epoch = a.Epoch
 		r.stepDown()
--- a/internal/policy/shard/replica.go
+++ b/internal/policy/shard/replica.go
@@ -77,8 +77,8 @@
 // Position returns the stream that the state belongs to and the number of the last write in it.
 func (r *Replica) Position() (stream Epoch, sequence uint64) { return r.stream, r.sequence }
 
-// Done returns the number of the last write that is done: every backup and every synced joining member has it.
-func (r *Replica) Done() uint64 { return r.doneSequence }
+// DoneSequence returns the number of the last write that is done: every backup and every synced joining member has it.
+func (r *Replica) DoneSequence() uint64 { return r.doneSequence }
 
 // Assign adopts an assignment and returns what it means for the state. It ignores one that is not newer
 // than the current assignment, or is older than the highest epoch seen.
@@ -162,9 +162,9 @@
 	r.leaseEpoch = 0
 }
 
-// Leased records a control lease on an epoch. The caller computes until from the time at which it sent the renewal, not
+// ExtendLease records a control lease on an epoch. The caller computes until from the time at which it sent the renewal, not
 // from that of the answer, so that the lease expires here before it does at the control instance.
-func (r *Replica) Leased(e Epoch, until time.Time) {
+func (r *Replica) ExtendLease(e Epoch, until time.Time) {
 	if e < r.leaseEpoch {
 		return
 	}
@@ -183,11 +183,11 @@
 	return r.isPrimary() && r.leaseEpoch == r.epoch && now.Before(r.leaseUntil)
 }
 
-// Release gives up the control lease, so that MayAct is false until the next one.
-func (r *Replica) Release() { r.leaseEpoch = 0 }
+// ReleaseLease gives up the control lease, so that MayAct is false until the next one.
+func (r *Replica) ReleaseLease() { r.leaseEpoch = 0 }
 
 // Write adds a change to be sent to the followers and returns its number. The caller must hold back the answer to the
-// change until Done has reached that number.
+// change until DoneSequence has reached that number.
 func (r *Replica) Write(payload []byte) uint64 {
 	r.sequence++
 	r.pendingWrites = append(r.pendingWrites, write{sequence: r.sequence, payload: payload})
--- a/internal/policy/shard/shard_test.go
+++ b/internal/policy/shard/shard_test.go
@@ -55,7 +55,7 @@
 	random     *rand.Rand
 	now        time.Time
 	hosts      []*host
-	shards     *Map
+	shards     *Assignments
 	assigner   *Assigner
 	term       string
 	terms      int
@@ -70,7 +70,7 @@
 		t:          t,
 		random:     rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
 		now:        start,
-		shards:     NewMap(),
+		shards:     NewAssignments(),
 		runsPerKey: map[claim.Key]int{},
 	}
 	f.startTerm()
@@ -86,7 +86,7 @@
 	term := fmt.Sprint(f.terms)
 	f.assigner = nil
 	f.inFlight = append(f.inFlight, delivery{at: f.now, run: func() {
-		f.shards.Begin(term)
+		f.shards.BeginTerm(term)
 		f.term = term
 		f.assigner = NewAssigner(testConfig(), f.shards, f.now.Add(testLeaseTime))
 	}})
@@ -110,7 +110,7 @@
 }
 
 func newTable(lost time.Time) *claim.Table {
-	return claim.New(claim.Config{Retention: testRetention, RunTime: testRetention, Lost: lost})
+	return claim.New(claim.Config{Retention: testRetention, RunTimeout: testRetention, LostAt: lost})
 }
 
 // send delivers a message after a random delay, or loses it.
@@ -186,7 +186,7 @@
 		f.replicate(h, p, m)
 	}
 	h.pending = slices.DeleteFunc(h.pending, func(w pendingAnswer) bool {
-		done := p.MayAct(f.now) && p.stream == w.stream && p.Done() >= w.sequence
+		done := p.MayAct(f.now) && p.stream == w.stream && p.DoneSequence() >= w.sequence
 		if done {
 			w.answer()
 		}
@@ -210,7 +210,7 @@
 		f.send(h, func() {
 			for _, a := range held {
 				f.assign(h, a)
-				h.replicas[a.Shard()].Leased(a.Epoch(), sent.Add(testLeaseTime))
+				h.replicas[a.Shard()].ExtendLease(a.Epoch(), sent.Add(testLeaseTime))
 			}
 		})
 	})
@@ -236,7 +236,7 @@
 }
 
 func (f *fleet) replicate(h *host, p *Replica, m MemberID) {
-	c, ok := p.Next(m)
+	c, ok := p.NextMessage(m)
 	if !ok {
 		return
 	}
@@ -255,7 +255,7 @@
 		if apply {
 			f.apply(to, c, state, lost)
 		}
-		f.send(h, func() { p.Answered(m, c.Epoch, a) })
+		f.send(h, func() { p.HandleAnswer(m, c.Epoch, a) })
 	})
 }
 
@@ -268,14 +268,14 @@
 		to.table.Put(e.key, e.entry)
 		return
 	}
-	to.table = newTable(from.Lost())
+	to.table = newTable(from.LostAt())
 	for _, e := range state {
 		to.table.Put(e.key, e.entry)
 	}
 }
 
 // startAttempt sends a random host a claim for one of a few keys and counts a run if the claim is granted. After 20 steps
-// without a run, the attempt is given up and its key freed.
+// without a run, the attempt is given up and its key may be claimed again.
 func (f *fleet) startAttempt() {
 	h := f.hosts[f.random.IntN(len(f.hosts))]
 	k := claim.NewKey("c", "s", figpier.IdempotencyKey(fmt.Sprint(f.random.IntN(40))))
@@ -297,7 +297,7 @@
 	f.inFlight = append(f.inFlight, delivery{at: f.now.Add(20 * testStep), run: func() {
 		if !ended {
 			ended = true
-			f.finishAttempt(k, a, claim.StateFreed)
+			f.finishAttempt(k, a, claim.StateNotRun)
 		}
 	}})
 }
@@ -353,8 +353,8 @@
 }
 
 func TestLateProposalOfAnEndedTermIsIgnored(t *testing.T) {
-	m := NewMap()
-	m.Begin("1")
+	m := NewAssignments()
+	m.BeginTerm("1")
 	first := NewAssigner(testConfig(), m, start)
 	for _, h := range []MemberID{"p", "b"} {
 		first.Renew(HostConfig{Member: h}, start)
@@ -370,7 +370,7 @@
 	late := first.Decide(now)
 	assert.Equal(t, late[0].Epoch(), founded.Epoch()+1)
 
-	m.Begin("2")
+	m.BeginTerm("2")
 	second := NewAssigner(testConfig(), m, now.Add(testLeaseTime))
 	assert.Equal(t, second.Renew(HostConfig{Member: founded.Primary()}, now)[0].Epoch(), founded.Epoch())
 	assert.Assert(t, !m.Apply("1", late[0]))
--- a/internal/traffic/claims/claims.go
+++ b/internal/traffic/claims/claims.go
@@ -22,8 +22,8 @@
 	retryPause = 50 * time.Millisecond
 	// endTimeout bounds how long the end of an attempt is sent again.
 	endTimeout = 30 * time.Second
-	// freeTimeout bounds how long Finish waits until the claim of a request that was not run is freed.
-	freeTimeout = 200 * time.Millisecond
+	// releaseTimeout bounds how long Finish waits until the claim of a request that was not run is freed.
+	releaseTimeout = 200 * time.Millisecond
 )
 
 // Claims implements figpier.Claims. It is safe for concurrent use.
@@ -81,7 +81,7 @@
 	}
 	answer, ok := a.requestClaim(ctx, c.callerInterval(call.Service()))
 	if !ok {
-		a.reportEnd(claim.StateFreed)
+		a.reportEnd(claim.StateNotRun)
 		return nil, figpier.Refuse(figpier.RefusalClaimUnknown)
 	}
 	if claim.Verdict(answer.Verdict) == claim.VerdictGranted {
@@ -126,7 +126,7 @@
 // requestClaim asks the acting primary for the claim, and its successors, until one answers or the context ends.
 func (a *attempt) requestClaim(ctx context.Context, interval time.Duration) (message.ClaimAnswer, bool) {
 	m := message.ClaimAsk{
-		Shard:          int(shard.OfClaim(a.key)),
+		Shard:          int(shard.ForClaim(a.key)),
 		Key:            codec.FromClaimKey(a.key),
 		Attempt:        string(a.id),
 		IntervalMillis: int(interval.Milliseconds()),
@@ -144,7 +144,7 @@
 // askPrimary sends a message to the primary and reports whether it answered. The locator forgets a primary that failed or is
 // not acting, so that the next try looks it up again.
 func (a *attempt) askPrimary(ctx context.Context, method figpier.Method, m, answer any) bool {
-	id := uint32(shard.OfClaim(a.key))
+	id := uint32(shard.ForClaim(a.key))
 	address, err := a.claims.locator.Primary(ctx, id)
 	if err != nil {
 		return false
@@ -190,11 +190,11 @@
 func (a *attempt) Finish(ctx context.Context, o figpier.Outcome) {
 	s := stateAfter(o.Kind())
 	done := a.reportEnd(s)
-	if s != claim.StateFreed {
+	if s != claim.StateNotRun {
 		return
 	}
 	elapsed := make(chan struct{})
-	cancel := a.claims.clock.AfterFunc(freeTimeout, func() { close(elapsed) })
+	cancel := a.claims.clock.AfterFunc(releaseTimeout, func() { close(elapsed) })
 	defer cancel()
 	select {
 	case <-done:
@@ -209,7 +209,7 @@
 	case figpier.OutcomeDone:
 		return claim.StateFinished
 	case figpier.OutcomeNotRun, figpier.OutcomeOverloaded, figpier.OutcomeUnreached:
-		return claim.StateFreed
+		return claim.StateNotRun
 	default:
 		return claim.StateUnknown
 	}
@@ -220,7 +220,7 @@
 func (a *attempt) reportEnd(s claim.State) <-chan struct{} {
 	done := make(chan struct{})
 	m := message.ClaimEnd{
-		Shard:   int(shard.OfClaim(a.key)),
+		Shard:   int(shard.ForClaim(a.key)),
 		Key:     codec.FromClaimKey(a.key),
 		Attempt: string(a.id),
 		State:   int(s),
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -26,8 +26,8 @@
 type Config struct {
 	// Instance is the identifier of the node.
 	Instance figpier.InstanceID
-	// Patience is how long a request may wait for its token.
-	Patience time.Duration
+	// MaxWait is how long a request may wait for its token.
+	MaxWait time.Duration
 }
 
 // Limiter implements figpier.Limiter. It is safe for concurrent use.
@@ -103,10 +103,10 @@
 	s := &tokenSource{
 		limiter: l,
 		key:     k,
-		shard:   uint32(shard.OfLimit(k.customer, k.service)),
+		shard:   uint32(shard.ForLimit(k.customer, k.service)),
 		holder: bucket.NewHolder(bucket.HolderConfig{
 			ID:         l.id,
-			Patience:   l.config.Patience,
+			MaxWait:    l.config.MaxWait,
 			AskTimeout: resendTime,
 		}, now),
 		wake:  make(chan struct{}, 1),
--- a/internal/traffic/limiter/source.go
+++ b/internal/traffic/limiter/source.go
@@ -32,7 +32,7 @@
 	verdict chan bucket.Verdict
 }
 
-// take spends a token, and waits for one for at most Config.Patience. It returns a *figpier.Refusal if it got none.
+// take spends a token, and waits for one for at most Config.MaxWait. It returns a *figpier.Refusal if it got none.
 func (s *tokenSource) take(ctx context.Context) error {
 	defer s.limiter.releaseSource(s)
 	v, w := s.spendOrQueue()
@@ -40,7 +40,7 @@
 		return verdictError(v)
 	}
 	timeout := make(chan struct{})
-	cancel := s.limiter.clock.AfterFunc(s.limiter.config.Patience, func() { close(timeout) })
+	cancel := s.limiter.clock.AfterFunc(s.limiter.config.MaxWait, func() { close(timeout) })
 	defer cancel()
 	select {
 	case v := <-w.verdict:
@@ -135,7 +135,7 @@
 }
 
 // nextAsk returns the request that is due now or when to check again; more is false when the loop ends.
-func (s *tokenSource) nextAsk() (a bucket.AskConfig, due bool, nextCheck time.Time, more bool) {
+func (s *tokenSource) nextAsk() (a bucket.TokenRequestConfig, due bool, nextCheck time.Time, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a, due, nextCheck = s.holder.Next(s.limiter.clock.Now())
@@ -159,7 +159,7 @@
 }
 
 // askForTokens sends a request and serves waiters with its answer. The holder ignores the answer if a later request was sent.
-func (s *tokenSource) askForTokens(ctx context.Context, a bucket.AskConfig) {
+func (s *tokenSource) askForTokens(ctx context.Context, a bucket.TokenRequestConfig) {
 	g, ok := s.askPrimary(ctx, a)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +175,7 @@
 
 // askPrimary sends a request to the primary of the shard. It returns false if that failed or the instance is not the acting
 // primary, which the locator then forgets.
-func (s *tokenSource) askPrimary(ctx context.Context, a bucket.AskConfig) (bucket.Grant, bool) {
+func (s *tokenSource) askPrimary(ctx context.Context, a bucket.TokenRequestConfig) (bucket.Grant, bool) {
 	address, err := s.limiter.locator.Primary(ctx, s.shard)
 	if err != nil {
 		return bucket.Grant{}, false
--- a/internal/traffic/quota/limiter.go
+++ b/internal/traffic/quota/limiter.go
@@ -94,7 +94,7 @@
 		Window:  l.config.Window,
 		Overage: l.config.Overage,
 		Slack:   l.config.Slack,
-		Opened:  now,
+		Start:   now,
 	})
 }
 
@@ -206,7 +206,7 @@
 		// The table starts empty, because the pool may have spent this node's part until now.
 		l.aloneTable = l.newTable(now)
 	}
-	return l.aloneTable.Take(now, c, limit, l.aloneTable.AloneShare(limit, l.countNodes(now)))
+	return l.aloneTable.Take(now, c, limit, l.aloneTable.IsolatedShare(limit, l.countNodes(now)))
 }
 
 // poolAnswered goes back to the pool after it has answered.
--- a/internal/traffic/quota/limiter_test.go
+++ b/internal/traffic/quota/limiter_test.go
@@ -54,7 +54,7 @@
 func newFleet(rate float64) *fleet {
 	f := &fleet{now: time.Unix(1000, 0), limit: figpier.NewLimit(figpier.LimitConfig{Rate: rate, Burst: rate})}
 	f.configuration = configuration(f.limit)
-	f.pool = policy.New(policy.Config{Window: window, Overage: overage, Slack: slack, Opened: f.now})
+	f.pool = policy.New(policy.Config{Window: window, Overage: overage, Slack: slack, Start: f.now})
 	log, _ := test.NewNullLogger()
 	for range fleetNodes {
 		n := &node{fleet: f, reachesControl: func() bool { return true }}
@@ -146,7 +146,7 @@
 	}
 	f := n.fleet
 	share := f.pool.PoolShare(f.limit, f.countedNodes(), fleetNodes)
-	paid := f.pool.Pay(f.now, customer, f.limit, share, ask.(message.PoolAsk).Owed)
+	paid := f.pool.Settle(f.now, customer, f.limit, share, ask.(message.PoolAsk).Owed)
 	wait, granted := f.pool.Take(f.now, customer, f.limit, share)
 	*answer.(*message.PoolAnswer) = message.PoolAnswer{Granted: granted, WaitMillis: int(wait.Milliseconds()), Paid: paid}
 	return nil
--- a/internal/traffic/retry/decider.go
+++ b/internal/traffic/retry/decider.go
@@ -25,7 +25,7 @@
 	decider *policy.Decider
 	pacer   *policy.Pacer
 	// denied records for which customers and services retries are being denied because of the retry share.
-	denied *spell.Table[policy.Pair]
+	denied *spell.Table[policy.CustomerService]
 }
 
 // New returns a decider, to be started by the kernel.
@@ -33,7 +33,7 @@
 	return &Decider{
 		decider: policy.New(),
 		pacer:   policy.NewPacer(),
-		denied:  spell.New[policy.Pair](spell.Config{Gap: deniedGap, Most: maxDenied}),
+		denied:  spell.New[policy.CustomerService](spell.Config{Gap: deniedGap, Most: maxDenied}),
 	}
 }
 
@@ -55,7 +55,7 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pacer.Attempt(now, c, k, interval)
+	return r.pacer.Wait(now, c, k, interval)
 }
 
 // TakeBudgetPortion implements figpier.RetryDecider.
@@ -73,17 +73,17 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.decider.CountFirstAttempt(now, policy.NewPair(c.Customer(), c.Service()), share)
+	r.decider.CountFirstAttempt(now, policy.NewCustomerService(c.Customer(), c.Service()), share)
 }
 
 // MayRetry implements figpier.RetryDecider.
 func (r *Decider) MayRetry(c *figpier.Call, l figpier.LiveCall, o figpier.Outcome) (bool, figpier.RetryReason) {
-	now, pair := r.clock.Now(), policy.NewPair(c.Customer(), c.Service())
+	now, pair := r.clock.Now(), policy.NewCustomerService(c.Customer(), c.Service())
 	a := policy.NewAttempt(policy.AttemptConfig{
-		Pair:       pair,
-		Kind:       o.Kind(),
-		Idempotent: c.Idempotent(),
-		Deadline:   c.Deadline(),
+		CustomerService: pair,
+		Kind:            o.Kind(),
+		Idempotent:      c.Idempotent(),
+		Deadline:        c.Deadline(),
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []figpier.Binding
-	r.denied.Each(now, func(p policy.Pair, since time.Time, count int) {
+	r.denied.Each(now, func(p policy.CustomerService, since time.Time, count int) {
 		all = append(all, figpier.NewBinding(figpier.BindingConfig{
 			Kind:     figpier.LimitRetryShare,
 			Service:  p.Service(),
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -28,7 +28,7 @@
 	view  figpier.ConfigurationView
 
 	mu     sync.Mutex // guards the fields below
-	policy *routing.Table
+	policy *routing.Tracker
 	// lastCleanup is when statistics of unused members were last dropped.
 	lastCleanup time.Time
 }
--- a/internal/traffic/shards/cluster_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -27,11 +27,11 @@
 )
 
 const (
-	testService = figpier.UpstreamService("booking")
-	controlName = "control"
-	tokenLease  = 500 * time.Millisecond
-	clockError  = 25 * time.Millisecond
-	lossTime    = 10 * time.Second
+	testService   = figpier.UpstreamService("booking")
+	controlName   = "control"
+	tokenLease    = 500 * time.Millisecond
+	maxClockDrift = 25 * time.Millisecond
+	lossTime      = 10 * time.Second
 )
 
 // synctestClock returns the fake time of the synctest bubble, which the kernel's own clocks don't follow.
@@ -145,12 +145,12 @@
 	cl := &cluster{t: t, network: newNetwork(seed)}
 	log := &fakeLog{}
 	assigner := controlshards.New(controlshards.Config{
-		Instance:   controlName,
-		LeaseTime:  2 * time.Second,
-		ClockError: 100 * time.Millisecond,
-		LossTime:   lossTime,
-		Backups:    2,
-		Log:        discardLog(),
+		Instance:      controlName,
+		LeaseTime:     2 * time.Second,
+		MaxClockDrift: 100 * time.Millisecond,
+		LossTime:      lossTime,
+		Backups:       2,
+		Log:           discardLog(),
 	})
 	log.SetStateMachine(machines.New(machines.Config{Shards: assigner}))
 	cl.control = cl.startProcess(cl.network.link(controlName), log, assigner)
@@ -172,17 +172,17 @@
 	address := fmt.Sprintf("node%d", len(cl.allNodes()))
 	name := figpier.InstanceID(address)
 	host := shards.New(shards.Config{
-		Instance:   name,
-		Address:    address,
-		DataCentre: figpier.DataCentre(address),
-		Region:     "north",
-		Controls:   []string{controlName},
-		TokenLease: tokenLease,
-		ClockError: clockError,
-		Retention:  24 * time.Hour,
-		RunTime:    time.Minute,
+		Instance:      name,
+		Address:       address,
+		DataCentre:    figpier.DataCentre(address),
+		Region:        "north",
+		Controls:      []string{controlName},
+		TokenLease:    tokenLease,
+		MaxClockDrift: maxClockDrift,
+		Retention:     24 * time.Hour,
+		RunTimeout:    time.Minute,
 	})
-	l := limiter.New(limiter.Config{Instance: name, Patience: 100 * time.Millisecond})
+	l := limiter.New(limiter.Config{Instance: name, MaxWait: 100 * time.Millisecond})
 	c := claims.New()
 	finder := locator.New(locator.Config{Controls: []string{controlName}})
 	p := cl.startProcess(cl.network.link(address), newFakeView(), finder, host, l, c)
--- a/internal/traffic/shards/failures_test.go
+++ b/internal/traffic/shards/failures_test.go
@@ -96,7 +96,7 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	x.inject(cl, cl.primary(shard.OfClaim(claim.NewKey("c", testService, "0"))))
+	x.inject(cl, cl.primary(shard.ForClaim(claim.NewKey("c", testService, "0"))))
 	callers.Wait()
 	for k, n := range c.runs {
 		assert.Assert(t, n <= 1, "request %s ran %d times", k, n)
@@ -203,7 +203,7 @@
 		}
 	})
 	time.Sleep(3 * time.Second)
-	x.inject(cl, cl.primary(shard.OfLimit(customer, testService)))
+	x.inject(cl, cl.primary(shard.ForLimit(customer, testService)))
 	callers.Wait()
 	assert.Equal(t, countOverLimit(limit, spent), 0, "of %d tokens", len(spent))
 	t.Logf("%d arrivals, %d tokens; refusals %v", arrivals, len(spent), c.refused)
--- a/internal/traffic/shards/handlers.go
+++ b/internal/traffic/shards/handlers.go
@@ -118,10 +118,10 @@
 	if len(r.buckets) >= bucketCleanupSize {
 		r.dropIdle(now)
 	}
-	c := bucket.Config{Limit: l, LeaseTime: r.host.config.TokenLease, ClockError: r.host.config.ClockError}
+	c := bucket.Config{Limit: l, LeaseTime: r.host.config.TokenLease, MaxClockDrift: r.host.config.MaxClockDrift}
 	began := now
 	if !r.lostBefore.IsZero() {
-		c.WaitOut = true
+		c.PredecessorLeases = true
 		began = r.lostBefore
 	}
 	b := bucket.New(c, began)
--- a/internal/traffic/shards/host.go
+++ b/internal/traffic/shards/host.go
@@ -44,12 +44,12 @@
 	Controls []string
 	// TokenLease is how long leased tokens are valid.
 	TokenLease time.Duration
-	// ClockError is the greatest drift between two clocks during a lease.
-	ClockError time.Duration
+	// MaxClockDrift is the greatest drift between two clocks during a lease.
+	MaxClockDrift time.Duration
 	// Retention is how long a claim is kept.
 	Retention time.Duration
-	// RunTime is how long a claim may be running before its outcome counts as unknown.
-	RunTime time.Duration
+	// RunTimeout is how long a claim may be running before its outcome counts as unknown.
+	RunTimeout time.Duration
 }
 
 // Host is the service that holds a node's replicas of shards and handles the messages about them.
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -119,9 +119,9 @@
 	case shard.ChangeStartAfterLoss:
 		r.reset(now)
 	}
-	r.policy.Leased(a.Epoch(), until)
+	r.policy.ExtendLease(a.Epoch(), until)
 	if r.host.leaving.Load() {
-		r.policy.Release()
+		r.policy.ReleaseLease()
 	}
 	r.startSenders()
 	r.notifyWaiters()
@@ -131,6 +131,6 @@
 func (r *shardReplica) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.policy.Release()
+	r.policy.ReleaseLease()
 	r.notifyWaiters()
 }
--- a/internal/traffic/shards/replica.go
+++ b/internal/traffic/shards/replica.go
@@ -59,9 +59,9 @@
 func (r *shardReplica) reset(lostBefore time.Time) {
 	r.lostBefore = lostBefore
 	r.table = claim.New(claim.Config{
-		Retention: r.host.config.Retention,
-		RunTime:   r.host.config.RunTime,
-		Lost:      lostBefore,
+		Retention:  r.host.config.Retention,
+		RunTimeout: r.host.config.RunTimeout,
+		LostAt:     lostBefore,
 	})
 	r.buckets = map[bucketKey]*bucket.Bucket{}
 }
@@ -81,7 +81,7 @@
 		if now != stream || !r.policy.MayAct(r.host.clock.Now()) {
 			return false
 		}
-		if r.policy.Done() >= sequence {
+		if r.policy.DoneSequence() >= sequence {
 			return true
 		}
 		if !r.waitChange(ctx) {
--- a/internal/traffic/shards/replication.go
+++ b/internal/traffic/shards/replication.go
@@ -23,7 +23,7 @@
 		if r.senders[m] != nil {
 			continue
 		}
-		if _, due := r.policy.Next(m); !due {
+		if _, due := r.policy.NextMessage(m); !due {
 			continue
 		}
 		s := &sender{}
@@ -51,7 +51,7 @@
 func (r *shardReplica) nextWrite(m shard.MemberID) (shard.MessageConfig, *message.ShardWrite, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c, due := r.policy.Next(m)
+	c, due := r.policy.NextMessage(m)
 	if !due {
 		delete(r.senders, m)
 		return c, nil, false
@@ -105,7 +105,7 @@
 		return false
 	}
 	s.silentSince = time.Time{}
-	r.policy.Answered(m, c.Epoch, shard.AnswerConfig{
+	r.policy.HandleAnswer(m, c.Epoch, shard.AnswerConfig{
 		Epoch:    shard.Epoch(a.Epoch),
 		Stream:   shard.Epoch(a.Stream),
 		Sequence: uint64(a.Sequence),
--- a/internal/wire/codec/shard.go
+++ b/internal/wire/codec/shard.go
@@ -125,13 +125,13 @@
 }
 
 // FromTokenAsk returns the wire form of a request for tokens. The caller sets the customer and the service.
-func FromTokenAsk(a bucket.AskConfig) message.TokenAsk {
+func FromTokenAsk(a bucket.TokenRequestConfig) message.TokenAsk {
 	m := message.TokenAsk{
 		Holder:         string(a.Holder),
 		Sequence:       int(a.Sequence),
 		Target:         a.Target,
 		Waiting:        a.Waiting,
-		PatienceMicros: int(a.Patience.Microseconds()),
+		PatienceMicros: int(a.MaxWait.Microseconds()),
 	}
 	for _, r := range a.Reports {
 		m.Reports = append(m.Reports, message.TokenReport{Sequence: int(r.Sequence), Spent: r.Spent, Closed: r.Closed})
@@ -140,16 +140,16 @@
 }
 
 // ToTokenAsk converts a request for tokens from its wire form.
-func ToTokenAsk(m message.TokenAsk) bucket.AskConfig {
-	a := bucket.AskConfig{
+func ToTokenAsk(m message.TokenAsk) bucket.TokenRequestConfig {
+	a := bucket.TokenRequestConfig{
 		Holder:   bucket.HolderID(m.Holder),
 		Sequence: uint64(m.Sequence),
 		Target:   m.Target,
 		Waiting:  m.Waiting,
-		Patience: time.Duration(m.PatienceMicros) * time.Microsecond,
+		MaxWait:  time.Duration(m.PatienceMicros) * time.Microsecond,
 	}
 	for _, r := range m.Reports {
-		a.Reports = append(a.Reports, bucket.ReportConfig{Sequence: uint64(r.Sequence), Spent: r.Spent, Closed: r.Closed})
+		a.Reports = append(a.Reports, bucket.LeaseReportConfig{Sequence: uint64(r.Sequence), Spent: r.Spent, Closed: r.Closed})
 	}
 	return a
 }
