--- a/internal/control/disk/disk.go
+++ b/internal/control/disk/disk.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/errs"
 
 	"github.com/figpier/figpier"
-	"github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/codec"
 	"github.com/figpier/figpier/internal/wire/message"
 )
@@ -39,9 +39,9 @@
 	writeErr     error
 	fresh        bool
 	droppedBytes int64
-	state        replica.HardState
-	snapshot     *replica.Snapshot
-	entries      []*replica.Entry
+	state        raft.HardState
+	snapshot     *raft.Snapshot
+	entries      []*raft.Entry
 }
 
 // Open locks and reads a data folder, or creates one for a new incarnation when it is empty or missing.
@@ -87,7 +87,7 @@
 		if err := d.load(c); err != nil {
 			return err
 		}
-		if d.state != (replica.HardState{}) || len(d.entries) > 0 {
+		if d.state != (raft.HardState{}) || len(d.entries) > 0 {
 			return &DamagedError{file: d.path(identityFile), detail: "the file is missing but the folder holds a log"}
 		}
 		_ = d.segment.Close()
@@ -107,8 +107,8 @@
 }
 
 // Member returns the id of the member that the folder belongs to.
-func (d *Disk) Member() replica.MemberID {
-	return replica.NewMemberID(d.config.Instance, d.config.Incarnation)
+func (d *Disk) Member() raft.MemberID {
+	return raft.NewMemberID(d.config.Instance, d.config.Incarnation)
 }
 
 // Fresh reports whether Open created the member.
@@ -118,16 +118,16 @@
 func (d *Disk) DroppedBytes() int64 { return d.droppedBytes }
 
 // State returns the hard state at the time of opening.
-func (d *Disk) State() replica.HardState { return d.state }
+func (d *Disk) State() raft.HardState { return d.state }
 
 // Snapshot returns the snapshot at the time of opening, nil for none.
-func (d *Disk) Snapshot() *replica.Snapshot { return d.snapshot }
+func (d *Disk) Snapshot() *raft.Snapshot { return d.snapshot }
 
 // Entries returns the entries after the snapshot at the time of opening.
-func (d *Disk) Entries() []*replica.Entry { return d.entries }
+func (d *Disk) Entries() []*raft.Entry { return d.entries }
 
 // Write makes the writes of effects durable in order. After an error every further call returns the same error.
-func (d *Disk) Write(all []*replica.Effects) error {
+func (d *Disk) Write(all []*raft.Effects) error {
 	if d.writeErr != nil {
 		return d.writeErr
 	}
@@ -135,8 +135,8 @@
 	return d.writeErr
 }
 
-func (d *Disk) write(all []*replica.Effects) error {
-	var pending []*replica.Entry
+func (d *Disk) write(all []*raft.Effects) error {
+	var pending []*raft.Entry
 	changed := false
 	for _, e := range all {
 		if e.State() != nil {
@@ -158,7 +158,7 @@
 }
 
 // appendRecord writes the hard state and entries as one record and syncs the segment.
-func (d *Disk) appendRecord(entries []*replica.Entry) error {
+func (d *Disk) appendRecord(entries []*raft.Entry) error {
 	payload, err := encodeRecord(d.state, entries)
 	if err != nil {
 		return err
@@ -171,7 +171,7 @@
 	return Error.Wrap(d.segment.Sync())
 }
 
-func encodeRecord(s replica.HardState, entries []*replica.Entry) ([]byte, error) {
+func encodeRecord(s raft.HardState, entries []*raft.Entry) ([]byte, error) {
 	state := codec.FromReplicaState(s)
 	payload, err := json.Marshal(message.ReplicaRecord{
 		State:   &state,
@@ -181,7 +181,7 @@
 }
 
 // compact writes a snapshot and a new segment that names it, and then removes the files that these replace.
-func (d *Disk) compact(e *replica.Effects) error {
+func (d *Disk) compact(e *raft.Effects) error {
 	data, err := encodeRecordFile(codec.FromReplicaSnapshot(e.Snapshot()))
 	if err != nil {
 		return err
@@ -199,7 +199,7 @@
 }
 
 // startSegment writes a segment with the hard state and the retained entries, and makes it the current one. It takes effect when the file gets its name.
-func (d *Disk) startSegment(number int, s *replica.Snapshot, retained []*replica.Entry) error {
+func (d *Disk) startSegment(number int, s *raft.Snapshot, retained []*raft.Entry) error {
 	head := message.ReplicaSegment{Number: number}
 	if s != nil {
 		head.Snapshot = int(s.Index())
--- a/internal/control/disk/disk_test.go
+++ b/internal/control/disk/disk_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 func openDisk(t *testing.T, folder string) *Disk {
@@ -21,15 +21,15 @@
 }
 
 // proposeAndWrite runs a cluster of one member on a disk, commits proposals and returns the member.
-func proposeAndWrite(t *testing.T, d *Disk, proposals int) *replica.Machine {
+func proposeAndWrite(t *testing.T, d *Disk, proposals int) *raft.Machine {
 	t.Helper()
-	m := replica.New(replica.Config{
+	m := raft.New(raft.Config{
 		Self: d.Member(), Heartbeat: 1, ElectionTimeout: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
 		Random: rand.New(rand.NewPCG(1, 2)), State: d.State(), Snapshot: d.Snapshot(), Entries: d.Entries(),
 	})
 	if m.Cluster() == "" {
-		self := replica.NewMember(replica.MemberConfig{ID: d.Member(), Voter: true})
-		m.Bootstrap(m.NextTick(), "log", replica.NewMembers(self), []byte("genesis"))
+		self := raft.NewMember(raft.MemberConfig{ID: d.Member(), Voter: true})
+		m.Bootstrap(m.NextTick(), "log", raft.NewMembers(self), []byte("genesis"))
 	}
 	m.Tick(m.NextTick())
 	writeEffects(t, d, m)
@@ -40,10 +40,10 @@
 	return m
 }
 
-func writeEffects(t *testing.T, d *Disk, m *replica.Machine) {
+func writeEffects(t *testing.T, d *Disk, m *raft.Machine) {
 	t.Helper()
 	for e := m.TakeEffects(); e.HasWrites(); e = m.TakeEffects() {
-		assert.NilError(t, d.Write([]*replica.Effects{e}))
+		assert.NilError(t, d.Write([]*raft.Effects{e}))
 		m.WritesDurable(m.NextTick(), e)
 	}
 }
--- a/internal/control/disk/load.go
+++ b/internal/control/disk/load.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"slices"
 
-	"github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/codec"
 	"github.com/figpier/figpier/internal/wire/message"
 )
@@ -92,7 +92,7 @@
 }
 
 // addEntry adds an entry, which replaces all from its index on. It returns false if the index leaves a gap or is in the snapshot.
-func (d *Disk) addEntry(e *replica.Entry) bool {
+func (d *Disk) addEntry(e *raft.Entry) bool {
 	first := d.firstIndex()
 	if e.Index() < first || e.Index() > first+uint64(len(d.entries)) {
 		return false
--- a/internal/control/replica/event.go
+++ b/internal/control/replica/event.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 // baseEvent is embedded in each event to address it to the replicated log.
@@ -22,13 +22,13 @@
 // messageReceived carries a message from another member.
 type messageReceived struct {
 	baseEvent
-	message *decision.Message
+	message *raft.Message
 }
 
 // writesFinished reports that the writes of effects are durable, or err when the disk failed.
 type writesFinished struct {
 	baseEvent
-	effects []*decision.Effects
+	effects []*raft.Effects
 	err     error
 }
 
@@ -47,7 +47,7 @@
 // memberRequest runs a function on the member's state for another control instance; verdict has room for one answer.
 type memberRequest struct {
 	baseEvent
-	run     func(m *decision.Machine, now time.Time) error
+	run     func(m *raft.Machine, now time.Time) error
 	verdict chan verdict
 }
 
@@ -67,7 +67,7 @@
 
 // peerStatus is a control instance's answer to a probe.
 type peerStatus struct {
-	member decision.Member
+	member raft.Member
 	// cluster is the name of the log that the instance belongs to, empty for none.
 	cluster string
 	// leaderAddress is the leader's address for messages, empty when unknown.
--- a/internal/control/replica/handle.go
+++ b/internal/control/replica/handle.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 // HandleEvent implements figpier.EventHandler; it runs on the control thread.
@@ -83,7 +83,7 @@
 }
 
 // apply restores the state machine or applies committed commands to it, and answers their proposers.
-func (l *Log) apply(e *decision.Effects) {
+func (l *Log) apply(e *raft.Effects) {
 	if s := e.Restore(); s != nil {
 		if err := l.stateMachine.Restore(s.Data()); err != nil {
 			l.fail(err)
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, n := range e.Committed() {
-		if n.Kind() != decision.EntryCommand {
+		if n.Kind() != raft.EntryCommand {
 			continue
 		}
 		answer := l.stateMachine.Apply(n.Index(), n.Command())
@@ -100,7 +100,7 @@
 }
 
 // sendOrQueue sends messages at once when no write is pending, and otherwise queues them behind the writes: they must not leave before these are durable.
-func (l *Log) sendOrQueue(e *decision.Effects) {
+func (l *Log) sendOrQueue(e *raft.Effects) {
 	if l.pendingWrites == 0 && !e.HasWrites() {
 		l.sender.send(e.Messages())
 		return
--- a/internal/control/replica/join.go
+++ b/internal/control/replica/join.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 // ownStatus returns this instance's answer to a probe.
 func (l *Log) ownStatus() peerStatus {
 	return peerStatus{
-		member: decision.NewMember(decision.MemberConfig{
+		member: raft.NewMember(raft.MemberConfig{
 			ID:      l.disk.Member(),
 			Address: l.config.Address,
 		}),
@@ -155,13 +155,13 @@
 		l.fail(err)
 		return
 	}
-	var founders []decision.Member
+	var founders []raft.Member
 	for _, p := range peers {
 		c := p.member.Config()
 		c.Voter = true
-		founders = append(founders, decision.NewMember(c))
+		founders = append(founders, raft.NewMember(c))
 	}
 	cluster := rand.Text()[:incarnationLength]
-	l.machine.Bootstrap(now, cluster, decision.NewMembers(founders...), data)
+	l.machine.Bootstrap(now, cluster, raft.NewMembers(founders...), data)
 	l.log.WithField("cluster", cluster).Warn("founded a new replicated log: all founders answered and none had one")
 }
--- a/internal/control/replica/remote.go
+++ b/internal/control/replica/remote.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/codec"
 	"github.com/figpier/figpier/internal/wire/message"
 )
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *raft.Machine, now time.Time) error {
 		return m.Propose(now, w.Proposal, command)
 	})
 }
@@ -51,7 +51,7 @@
 	if err := decode(&w); err != nil {
 		return nil, err
 	}
-	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *raft.Machine, now time.Time) error {
 		return m.Join(now, codec.ToReplicaMember(w))
 	})
 }
@@ -61,13 +61,13 @@
 	if err := decode(&w); err != nil {
 		return nil, err
 	}
-	return l.runRequest(ctx, func(m *decision.Machine, now time.Time) error {
+	return l.runRequest(ctx, func(m *raft.Machine, now time.Time) error {
 		return m.Remove(now, figpier.InstanceID(w.Instance))
 	})
 }
 
 // runRequest runs a function on the control thread and returns this member's verdict.
-func (l *Log) runRequest(ctx context.Context, run func(m *decision.Machine, now time.Time) error) (any, error) {
+func (l *Log) runRequest(ctx context.Context, run func(m *raft.Machine, now time.Time) error) (any, error) {
 	r := memberRequest{run: run, verdict: make(chan verdict, 1)}
 	if err := l.control.Post(r); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 }
 
 // join asks the leader to add this member. It does not retry: discovery calls it again until the member has joined.
-func (l *Log) join(address string, m decision.Member) {
+func (l *Log) join(address string, m raft.Member) {
 	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
 	var v message.ReplicaVerdict
--- a/internal/control/replica/sender.go
+++ b/internal/control/replica/sender.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/codec"
 	"github.com/figpier/figpier/internal/wire/message"
 )
@@ -27,7 +27,7 @@
 	return &sender{ctx: ctx, messenger: m, inFlight: map[string]int{}}
 }
 
-func (s *sender) send(messages []*decision.Message) {
+func (s *sender) send(messages []*raft.Message) {
 	for _, m := range messages {
 		if s.acquire(m.Address()) {
 			go s.deliver(m)
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *sender) deliver(m *decision.Message) {
+func (s *sender) deliver(m *raft.Message) {
 	defer s.release(m.Address())
 	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
--- a/internal/control/replica/service.go
+++ b/internal/control/replica/service.go
@@ -13,7 +13,7 @@
 
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/control/disk"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 // Error is the error class of the replicated log.
@@ -103,7 +103,7 @@
 	handedOver chan struct{}
 
 	// Only the control thread uses the fields below.
-	machine *decision.Machine
+	machine *raft.Machine
 	// pendingWrites is the number of effects that the writer has not yet reported as written.
 	pendingWrites int
 	failed        bool
@@ -181,9 +181,9 @@
 	return l.control.Post(started{})
 }
 
-func (l *Log) newMachine() *decision.Machine {
+func (l *Log) newMachine() *raft.Machine {
 	seed := random.NewPCG(random.Uint64(), random.Uint64())
-	return decision.New(decision.Config{
+	return raft.New(raft.Config{
 		Self:            l.disk.Member(),
 		Address:         l.config.Address,
 		Heartbeat:       l.config.Heartbeat,
--- a/internal/control/replica/writer.go
+++ b/internal/control/replica/writer.go
@@ -6,7 +6,7 @@
 
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/control/disk"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 // writer makes effects durable in order on its own goroutine; all that are queued share one call of disk.Write.
@@ -19,7 +19,7 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	queue []*decision.Effects
+	queue []*raft.Effects
 }
 
 func newWriter(d *disk.Disk, c figpier.ControlThread) *writer {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (w *writer) enqueue(e *decision.Effects) {
+func (w *writer) enqueue(e *raft.Effects) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue = append(w.queue, e)
--- a/internal/control/machines/machines.go
+++ b/internal/control/statemachines/combined.go
@@ -1,4 +1,4 @@
-package machines
+package statemachines
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 // shardPrefix is how each shard command begins, and no other command.
 const shardPrefix = `{"begin":`
 
-// Config builds Machines.
+// Config builds a Combined.
 type Config struct {
 	// Catalog applies the operators' edits and all other commands that are not for shards.
 	Catalog figpier.StateMachine
@@ -24,16 +24,16 @@
 	Shards figpier.StateMachine
 }
 
-// Machines implements figpier.StateMachine by passing each command to the state machine that it is for.
-type Machines struct {
+// Combined implements figpier.StateMachine by passing each command to the state machine that it is for.
+type Combined struct {
 	config Config
 }
 
 // New returns a state machine that combines those of the configuration.
-func New(c Config) *Machines { return &Machines{config: c} }
+func New(c Config) *Combined { return &Combined{config: c} }
 
 // Apply implements figpier.StateMachine.
-func (m *Machines) Apply(index uint64, command []byte) (answer any) {
+func (m *Combined) Apply(index uint64, command []byte) (answer any) {
 	if bytes.HasPrefix(command, []byte(shardPrefix)) {
 		return m.config.Shards.Apply(index, command)
 	}
@@ -41,7 +41,7 @@
 }
 
 // Snapshot implements figpier.StateMachine.
-func (m *Machines) Snapshot() ([]byte, error) {
+func (m *Combined) Snapshot() ([]byte, error) {
 	catalog, err := m.config.Catalog.Snapshot()
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 }
 
 // Restore implements figpier.StateMachine.
-func (m *Machines) Restore(snapshot []byte) error {
+func (m *Combined) Restore(snapshot []byte) error {
 	var s message.MachineSnapshot
 	if err := json.Unmarshal(snapshot, &s); err != nil {
 		return Error.Wrap(err)
--- /dev/null
+++ b/internal/control/statemachines/doc.go
@@ -0,0 +1,2 @@
+// Package statemachines combines several state machines into one that a replicated log can drive.
+package statemachines
--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -8,11 +8,11 @@
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/control/catalog"
 	"github.com/figpier/figpier/internal/control/exchange"
-	"github.com/figpier/figpier/internal/control/machines"
 	"github.com/figpier/figpier/internal/control/members"
 	"github.com/figpier/figpier/internal/control/operator"
 	"github.com/figpier/figpier/internal/control/replica"
 	"github.com/figpier/figpier/internal/control/shards"
+	"github.com/figpier/figpier/internal/control/statemachines"
 	"github.com/figpier/figpier/internal/control/subscription"
 	"github.com/figpier/figpier/internal/host/certificate"
 	"github.com/figpier/figpier/internal/host/metrics"
@@ -56,7 +56,7 @@
 		Backups:       shardBackups,
 		Log:           l,
 	})
-	log.SetStateMachine(machines.New(machines.Config{Catalog: states, Shards: assigner}))
+	log.SetStateMachine(statemachines.New(statemachines.Config{Catalog: states, Shards: assigner}))
 	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
 		jsonrpc.New(messengerConfig(s, security)),
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -22,15 +22,15 @@
 	"github.com/figpier/figpier/internal/kernel/system"
 	"github.com/figpier/figpier/internal/link/jsonrpc"
 	"github.com/figpier/figpier/internal/traffic/admission"
-	"github.com/figpier/figpier/internal/traffic/control"
+	"github.com/figpier/figpier/internal/traffic/configview"
 	"github.com/figpier/figpier/internal/traffic/cutoffs"
 	"github.com/figpier/figpier/internal/traffic/delivery"
 	"github.com/figpier/figpier/internal/traffic/forward"
-	"github.com/figpier/figpier/internal/traffic/hostgate"
 	"github.com/figpier/figpier/internal/traffic/quota"
 	"github.com/figpier/figpier/internal/traffic/ranks"
 	"github.com/figpier/figpier/internal/traffic/router"
 	"github.com/figpier/figpier/internal/traffic/stopping"
+	"github.com/figpier/figpier/internal/traffic/tablegate"
 	"github.com/figpier/figpier/internal/traffic/upstream"
 	"github.com/figpier/figpier/platform"
 )
@@ -88,7 +88,7 @@
 		metrics.New(metrics.Config{Address: s.Metrics()}),
 		seeds.New(seeds.Config{Path: s.Path(), Seeds: m.Seeds, Read: seedAddresses, Log: l}),
 		jsonrpc.New(jsonrpc.Config{AskTimeout: defaultAskTimeout}),
-		control.New(control.Config{
+		configview.New(configview.Config{
 			DataCentre: figpier.DataCentre(s.DataCentre()),
 			Region:     figpier.Region(s.Region()),
 			Freshness:  scaleDuration(m.Withdrawal, freshnessFraction),
@@ -108,7 +108,7 @@
 			Region:     figpier.Region(s.Region()),
 			Seed:       xxh3.HashString(string(instance)),
 		}),
-		hostgate.New(hostgate.Config{Service: service}),
+		tablegate.New(tablegate.Config{Service: service}),
 		upstream.New(upstream.Config{
 			Address: m.Backend,
 			Silence: backendTimeout,
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -16,7 +16,7 @@
 	"github.com/figpier/figpier/internal/traffic/backend"
 	"github.com/figpier/figpier/internal/traffic/caller"
 	"github.com/figpier/figpier/internal/traffic/claims"
-	"github.com/figpier/figpier/internal/traffic/control"
+	"github.com/figpier/figpier/internal/traffic/configview"
 	"github.com/figpier/figpier/internal/traffic/cutoffs"
 	"github.com/figpier/figpier/internal/traffic/exit"
 	"github.com/figpier/figpier/internal/traffic/explanation"
@@ -77,7 +77,7 @@
 		logs.NewRequests(l),
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
 		jsonrpc.New(messengerConfig(s, security)),
-		control.New(control.Config{
+		configview.New(configview.Config{
 			Controls:   n.Controls,
 			Freshness:  n.Freshness.Or(defaultMaxViewAge),
 			Margin:     defaultStaleMargin,
--- a/internal/policy/budget/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package budget limits the retries to each service to a ratio of its first attempts over a sliding window.
-package budget
--- a/internal/policy/spell/spell.go
+++ b/internal/policy/episode/episode.go
@@ -1,4 +1,4 @@
-package spell
+package episode
 
 import "time"
 
@@ -6,8 +6,8 @@
 type Config struct {
 	// Gap is the time without an event after which an episode ends.
 	Gap time.Duration
-	// Most is the maximum number of concurrent episodes; events that would begin further ones are ignored.
-	Most int
+	// MaxEntries is the maximum number of concurrent episodes; events that would begin further ones are ignored.
+	MaxEntries int
 }
 
 // Table holds the current episodes by key. It is not safe for concurrent use.
@@ -17,8 +17,8 @@
 }
 
 type episode struct {
-	started, lastMark time.Time
-	count             int
+	started, lastEvent time.Time
+	count              int
 }
 
 // New returns a table without episodes.
@@ -26,23 +26,23 @@
 	return &Table[K]{config: c, episodes: map[K]*episode{}}
 }
 
-// Mark records an event, which begins an episode or extends the current one.
-func (t *Table[K]) Mark(now time.Time, k K) {
+// Record records an event, which begins an episode or extends the current one.
+func (t *Table[K]) Record(now time.Time, k K) {
 	e, ok := t.episodes[k]
 	if !ok {
-		if len(t.episodes) >= t.config.Most {
+		if len(t.episodes) >= t.config.MaxEntries {
 			t.sweep(now)
 		}
-		if len(t.episodes) >= t.config.Most {
+		if len(t.episodes) >= t.config.MaxEntries {
 			return
 		}
 		e = &episode{started: now}
 		t.episodes[k] = e
 	}
-	if ok && now.Sub(e.lastMark) > t.config.Gap {
+	if ok && now.Sub(e.lastEvent) > t.config.Gap {
 		e.started, e.count = now, 0
 	}
-	e.lastMark = now
+	e.lastEvent = now
 	e.count++
 }
 
@@ -57,7 +57,7 @@
 // sweep removes the episodes that have ended.
 func (t *Table[K]) sweep(now time.Time) {
 	for k, e := range t.episodes {
-		if now.Sub(e.lastMark) > t.config.Gap {
+		if now.Sub(e.lastEvent) > t.config.Gap {
 			delete(t.episodes, k)
 		}
 	}
--- a/internal/policy/spell/spell_test.go
+++ b/internal/policy/episode/episode_test.go
@@ -1,4 +1,4 @@
-package spell
+package episode
 
 import (
 	"testing"
@@ -12,17 +12,17 @@
 func TestEpisodesMatchReferenceModel(t *testing.T) {
 	const gap = time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		table, now := New[int](Config{Gap: gap, Most: 10}), time.Unix(0, 0)
-		marks := map[int][]time.Time{}
+		table, now := New[int](Config{Gap: gap, MaxEntries: 10}), time.Unix(0, 0)
+		events := map[int][]time.Time{}
 		for range rapid.IntRange(1, 60).Draw(t, "marks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
 			k := rapid.IntRange(0, 3).Draw(t, "key")
-			table.Mark(now, k)
-			marks[k] = append(marks[k], now)
+			table.Record(now, k)
+			events[k] = append(events[k], now)
 		}
 		got := map[int]time.Time{}
 		table.Each(now, func(k int, since time.Time, _ int) { got[k] = since })
-		for k, all := range marks {
+		for k, all := range events {
 			first := len(all) - 1
 			for first > 0 && all[first].Sub(all[first-1]) <= gap {
 				first--
--- a/internal/policy/spell/seed_test.go
+++ b/internal/policy/episode/seed_test.go
@@ -1,4 +1,4 @@
-package spell
+package episode
 
 import "flag"
 
--- a/internal/policy/replica/cluster_test.go
+++ b/internal/policy/raft/cluster_test.go
@@ -1,4 +1,4 @@
-package replica
+package raft
 
 import (
 	"fmt"
--- a/internal/policy/replica/effects.go
+++ b/internal/policy/raft/effects.go
@@ -1,4 +1,4 @@
-package replica
+package raft
 
 // Effects lists what the caller has to do for a member. Messages are sent only after the writes of these and of all
 // earlier effects are durable; committed entries may be applied at once.
--- a/internal/policy/replica/entry.go
+++ b/internal/policy/raft/entry.go
@@ -1,4 +1,4 @@
-package replica
+package raft
 
 // EntryKind says what an entry of the log holds.
 type EntryKind string
--- a/internal/policy/replica/log.go
+++ b/internal/policy/raft/log.go
@@ -1,4 +1,4 @@
-package replica
+package raft
 
 // log holds in memory the entries after a base entry. Compaction and snapshots move the base forward.
 type log struct {
--- a/internal/policy/budget/budget.go
+++ b/internal/policy/retrybudget/budget.go
@@ -1,4 +1,4 @@
-package budget
+package retrybudget
 
 import (
 	"time"
@@ -15,8 +15,8 @@
 	Share float64
 	// Window is the period over which attempts are counted.
 	Window time.Duration
-	// Free is the number of retries allowed within the window in addition to Share.
-	Free float64
+	// MinRetries is the number of retries allowed within the window in addition to Share.
+	MinRetries float64
 }
 
 // Table counts the first attempts and retries of each service. It is not safe for concurrent use.
@@ -52,7 +52,7 @@
 		firsts += c.firsts[i]
 		retries += c.retries[i]
 	}
-	if float64(retries+1) > t.config.Share*float64(firsts)+t.config.Free {
+	if float64(retries+1) > t.config.Share*float64(firsts)+t.config.MinRetries {
 		return false
 	}
 	c.retries[c.currentSlot%slotsPerWindow]++
--- a/internal/policy/budget/budget_test.go
+++ b/internal/policy/retrybudget/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package retrybudget
 
 import (
 	"math/rand/v2"
@@ -10,7 +10,7 @@
 
 func TestNoWindowExceedsRetryShare(t *testing.T) {
 	const window = 10 * time.Second
-	table := New(Config{Share: 0.1, Window: window, Free: 2})
+	table := New(Config{Share: 0.1, Window: window, MinRetries: 2})
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
 	var firsts, retries []time.Time
@@ -44,7 +44,7 @@
 }
 
 func TestRetriesExpireWithWindow(t *testing.T) {
-	table := New(Config{Share: 0, Window: time.Second, Free: 1})
+	table := New(Config{Share: 0, Window: time.Second, MinRetries: 1})
 	now := time.Unix(0, 0)
 	assert.Assert(t, table.Retry(now, "s"))
 	assert.Assert(t, !table.Retry(now.Add(900*time.Millisecond), "s"))
--- a/internal/policy/spread/spread.go
+++ b/internal/policy/roundrobin/roundrobin.go
@@ -1,4 +1,4 @@
-package spread
+package roundrobin
 
 import "github.com/figpier/figpier"
 
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -7,7 +7,7 @@
 
 	"github.com/figpier/figpier"
 	policy "github.com/figpier/figpier/internal/policy/admission"
-	"github.com/figpier/figpier/internal/policy/spell"
+	"github.com/figpier/figpier/internal/policy/episode"
 )
 
 // Bounds of the refusals that Bindings reports.
@@ -38,7 +38,7 @@
 	controller *policy.Controller
 	lastID     policy.CallID
 	verdicts   map[policy.CallID]chan policy.Verdict
-	refusals   *spell.Table[refusalCause]
+	refusals   *episode.Table[refusalCause]
 }
 
 // refusalCause identifies refusals by the customer of the calls and the limit that refused them.
@@ -53,7 +53,7 @@
 		config:     c,
 		controller: policy.New(policy.Config{FixedLimit: c.Stated}),
 		verdicts:   map[policy.CallID]chan policy.Verdict{},
-		refusals:   spell.New[refusalCause](spell.Config{Gap: bindingGap, Most: maxBindings}),
+		refusals:   episode.New[refusalCause](episode.Config{Gap: bindingGap, MaxEntries: maxBindings}),
 	}
 }
 
@@ -202,7 +202,7 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refusals.Mark(now, refusalCause{customer: c.Customer(), kind: k})
+	a.refusals.Record(now, refusalCause{customer: c.Customer(), kind: k})
 }
 
 func (a *Admission) release(o figpier.Outcome) {
--- a/internal/traffic/control/state_test.go
+++ b/internal/traffic/configview/state_test.go
@@ -1,4 +1,4 @@
-package control
+package configview
 
 import (
 	"math"
--- a/internal/traffic/control/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package control polls the control instances for the configuration and the members of services, and publishes both to
-// traffic threads.
-package control
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -8,7 +8,7 @@
 
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/link/web"
-	"github.com/figpier/figpier/internal/policy/budget"
+	"github.com/figpier/figpier/internal/policy/retrybudget"
 )
 
 // Bounds on the connections to other nodes.
@@ -48,7 +48,7 @@
 	transport *http.Transport
 
 	mu          sync.Mutex // guards retries
-	retryBudget *budget.Table
+	retryBudget *retrybudget.Table
 }
 
 // New returns a forwarder, to be started by the kernel.
@@ -61,7 +61,7 @@
 			IdleTimeout:     idleTimeout,
 			IdleConnections: maxIdleConnections,
 		}),
-		retryBudget: budget.New(budget.Config{Share: c.RetryShare, Window: c.RetryWindow, Free: c.FreeRetries}),
+		retryBudget: retrybudget.New(retrybudget.Config{Share: c.RetryShare, Window: c.RetryWindow, MinRetries: c.FreeRetries}),
 	}
 }
 
--- a/internal/traffic/retry/decider.go
+++ b/internal/traffic/retry/decider.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/figpier/figpier"
+	"github.com/figpier/figpier/internal/policy/episode"
 	policy "github.com/figpier/figpier/internal/policy/retry"
-	"github.com/figpier/figpier/internal/policy/spell"
 )
 
 // Bounds of the record of denied retries: how long a pause ends an entry, and the greatest number of entries.
@@ -25,7 +25,7 @@
 	decider *policy.Decider
 	pacer   *policy.Pacer
 	// denied records for which customers and services retries are being denied because of the retry share.
-	denied *spell.Table[policy.CustomerService]
+	denied *episode.Table[policy.CustomerService]
 }
 
 // New returns a decider, to be started by the kernel.
@@ -33,7 +33,7 @@
 	return &Decider{
 		decider: policy.New(),
 		pacer:   policy.NewPacer(),
-		denied:  spell.New[policy.CustomerService](spell.Config{Gap: deniedGap, Most: maxDenied}),
+		denied:  episode.New[policy.CustomerService](episode.Config{Gap: deniedGap, MaxEntries: maxDenied}),
 	}
 }
 
@@ -89,7 +89,7 @@
 	defer r.mu.Unlock()
 	ok, reason := r.decider.MayRetry(now, a, l.TakeBudget)
 	if reason == figpier.NoRetryShare {
-		r.denied.Mark(now, pair)
+		r.denied.Record(now, pair)
 	}
 	return ok, reason
 }
--- a/internal/traffic/shards/cluster_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/figpier/figpier"
-	"github.com/figpier/figpier/internal/control/machines"
 	controlshards "github.com/figpier/figpier/internal/control/shards"
+	"github.com/figpier/figpier/internal/control/statemachines"
 	"github.com/figpier/figpier/internal/kernel/registry"
 	"github.com/figpier/figpier/internal/kernel/system"
 	"github.com/figpier/figpier/internal/policy/shard"
@@ -152,7 +152,7 @@
 		Backups:       2,
 		Log:           discardLog(),
 	})
-	log.SetStateMachine(machines.New(machines.Config{Shards: assigner}))
+	log.SetStateMachine(statemachines.New(statemachines.Config{Shards: assigner}))
 	cl.control = cl.startProcess(cl.network.link(controlName), log, assigner)
 	for range nodes {
 		cl.startNode()
--- a/internal/traffic/shards/host.go
+++ b/internal/traffic/shards/host.go
@@ -73,8 +73,8 @@
 // assignmentSet is the set of assignments that the last control lease covers; it is never changed once stored.
 type assignmentSet struct {
 	assignments []*shard.Assignment
-	// mark identifies the set, so that a lease for the same set need not list it again.
-	mark string
+	// digest identifies the set, so that a lease for the same set need not list it again.
+	digest string
 }
 
 // New returns a host without replicas. Its member name is unique to this process, also across restarts.
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -42,7 +42,7 @@
 		DataCentre: string(h.config.DataCentre),
 		Region:     string(h.config.Region),
 		Leaving:    h.leaving.Load(),
-		Mark:       assigned.mark,
+		Mark:       assigned.digest,
 		Reports:    h.followerReports(assigned, sent),
 	}
 	var l message.ShardLease
@@ -98,13 +98,13 @@
 	}
 }
 
-// newAssignmentSet decodes the assignments of a lease and computes their mark.
+// newAssignmentSet decodes the assignments of a lease and computes their digest.
 func newAssignmentSet(wire []message.ShardAssignment) *assignmentSet {
 	c := &assignmentSet{}
 	for _, w := range wire {
 		c.assignments = append(c.assignments, codec.ToShardAssignment(w))
 	}
-	c.mark = codec.ShardMark(c.assignments)
+	c.digest = codec.ShardMark(c.assignments)
 	return c
 }
 
--- a/internal/traffic/hostgate/gate.go
+++ b/internal/traffic/tablegate/gate.go
@@ -1,4 +1,4 @@
-package hostgate
+package tablegate
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/figpier/figpier"
-	"github.com/figpier/figpier/internal/policy/spread"
+	"github.com/figpier/figpier/internal/policy/roundrobin"
 )
 
 // notReadyRetryAfter is the Retry-After of a node that has just started or whose view is stale; a node gets the table with
@@ -28,12 +28,12 @@
 	limiter figpier.Limiter
 	ranker  figpier.Ranker
 
-	mu     sync.Mutex // guards spread
-	spread *spread.Table
+	mu         sync.Mutex // guards roundRobin
+	roundRobin *roundrobin.Table
 }
 
 // New returns a gate, to be started by the kernel.
-func New(c Config) *Gate { return &Gate{config: c, spread: spread.New()} }
+func New(c Config) *Gate { return &Gate{config: c, roundRobin: roundrobin.New()} }
 
 // Name implements figpier.Service.
 func (g *Gate) Name() figpier.ServiceName { return figpier.GateService }
@@ -131,7 +131,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s, ok := g.spread.Next(r)
+	s, ok := g.roundRobin.Next(r)
 	if !ok {
 		return "", figpier.Refuse(figpier.RefusalNoUpstream)
 	}
--- a/internal/wire/codec/replica.go
+++ b/internal/wire/codec/replica.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/message"
 )
 
@@ -13,21 +13,21 @@
 const unknownAgeMicros = -1
 
 // FromReplicaMember returns the wire form of a member of the replicated log.
-func FromReplicaMember(m replica.Member) message.ReplicaMember {
+func FromReplicaMember(m raft.Member) message.ReplicaMember {
 	return message.ReplicaMember{Id: string(m.ID()), Address: m.Address(), Voter: m.Voter()}
 }
 
 // ToReplicaMember converts a member of the replicated log from its wire form.
-func ToReplicaMember(m message.ReplicaMember) replica.Member {
-	return replica.NewMember(replica.MemberConfig{
-		ID:      replica.MemberID(m.Id),
+func ToReplicaMember(m message.ReplicaMember) raft.Member {
+	return raft.NewMember(raft.MemberConfig{
+		ID:      raft.MemberID(m.Id),
 		Address: m.Address,
 		Voter:   m.Voter,
 	})
 }
 
 // FromReplicaMembers returns the wire form of the log's membership, an empty list for nil.
-func FromReplicaMembers(m *replica.Members) []message.ReplicaMember {
+func FromReplicaMembers(m *raft.Members) []message.ReplicaMember {
 	list := []message.ReplicaMember{}
 	if m == nil {
 		return list
@@ -39,19 +39,19 @@
 }
 
 // ToReplicaMembers converts the log's membership from its wire form. It returns nil for an empty list.
-func ToReplicaMembers(list []message.ReplicaMember) *replica.Members {
+func ToReplicaMembers(list []message.ReplicaMember) *raft.Members {
 	if len(list) == 0 {
 		return nil
 	}
-	var members []replica.Member
+	var members []raft.Member
 	for _, e := range list {
 		members = append(members, ToReplicaMember(e))
 	}
-	return replica.NewMembers(members...)
+	return raft.NewMembers(members...)
 }
 
 // FromReplicaEntry returns the wire form of a log entry, with its command in base64.
-func FromReplicaEntry(e *replica.Entry) message.ReplicaEntry {
+func FromReplicaEntry(e *raft.Entry) message.ReplicaEntry {
 	return message.ReplicaEntry{
 		Index:    int(e.Index()),
 		Term:     int(e.Term()),
@@ -63,7 +63,7 @@
 }
 
 // ToReplicaEntry converts a log entry from its wire form. Index and term must be at least 1.
-func ToReplicaEntry(m message.ReplicaEntry) (*replica.Entry, error) {
+func ToReplicaEntry(m message.ReplicaEntry) (*raft.Entry, error) {
 	command, err := base64.StdEncoding.DecodeString(m.Command)
 	if err != nil {
 		return nil, Error.New("command of entry %d: %w", m.Index, err)
@@ -71,10 +71,10 @@
 	if m.Index <= 0 || m.Term <= 0 {
 		return nil, Error.New("entry %d of term %d: both count from 1", m.Index, m.Term)
 	}
-	return replica.NewEntry(replica.EntryConfig{
+	return raft.NewEntry(raft.EntryConfig{
 		Index:    uint64(m.Index),
 		Term:     uint64(m.Term),
-		Kind:     replica.EntryKind(m.Kind),
+		Kind:     raft.EntryKind(m.Kind),
 		Proposal: m.Proposal,
 		Command:  command,
 		Members:  ToReplicaMembers(m.Members),
@@ -82,7 +82,7 @@
 }
 
 // FromReplicaEntries returns the wire forms of log entries, an empty list for none.
-func FromReplicaEntries(entries []*replica.Entry) []message.ReplicaEntry {
+func FromReplicaEntries(entries []*raft.Entry) []message.ReplicaEntry {
 	list := []message.ReplicaEntry{}
 	for _, e := range entries {
 		list = append(list, FromReplicaEntry(e))
@@ -91,8 +91,8 @@
 }
 
 // ToReplicaEntries converts log entries from their wire forms. Their indexes must be consecutive.
-func ToReplicaEntries(list []message.ReplicaEntry) ([]*replica.Entry, error) {
-	var entries []*replica.Entry
+func ToReplicaEntries(list []message.ReplicaEntry) ([]*raft.Entry, error) {
+	var entries []*raft.Entry
 	for i, m := range list {
 		e, err := ToReplicaEntry(m)
 		if err != nil {
@@ -107,21 +107,21 @@
 }
 
 // FromReplicaState returns the wire form of a hard state, the part of a log member's state that must survive a restart.
-func FromReplicaState(s replica.HardState) message.ReplicaState {
+func FromReplicaState(s raft.HardState) message.ReplicaState {
 	return message.ReplicaState{Cluster: s.Cluster(), Term: int(s.Term()), Vote: string(s.Vote())}
 }
 
 // ToReplicaState converts a hard state from its wire form.
-func ToReplicaState(m message.ReplicaState) replica.HardState {
-	return replica.NewHardState(replica.HardStateConfig{
+func ToReplicaState(m message.ReplicaState) raft.HardState {
+	return raft.NewHardState(raft.HardStateConfig{
 		Cluster: m.Cluster,
 		Term:    uint64(m.Term),
-		Vote:    replica.MemberID(m.Vote),
+		Vote:    raft.MemberID(m.Vote),
 	})
 }
 
 // FromReplicaSnapshot returns the wire form of a snapshot of the log's state machine, with its data in base64.
-func FromReplicaSnapshot(s *replica.Snapshot) message.ReplicaSnapshot {
+func FromReplicaSnapshot(s *raft.Snapshot) message.ReplicaSnapshot {
 	return message.ReplicaSnapshot{
 		Index:   int(s.Index()),
 		Term:    int(s.Term()),
@@ -131,7 +131,7 @@
 }
 
 // ToReplicaSnapshot converts a snapshot from its wire form. It fails if the snapshot lists no members.
-func ToReplicaSnapshot(m message.ReplicaSnapshot) (*replica.Snapshot, error) {
+func ToReplicaSnapshot(m message.ReplicaSnapshot) (*raft.Snapshot, error) {
 	data, err := base64.StdEncoding.DecodeString(m.Data)
 	if err != nil {
 		return nil, Error.New("snapshot up to entry %d: %w", m.Index, err)
@@ -140,7 +140,7 @@
 	if members == nil {
 		return nil, Error.New("snapshot up to entry %d has no members", m.Index)
 	}
-	return replica.NewSnapshot(replica.SnapshotConfig{
+	return raft.NewSnapshot(raft.SnapshotConfig{
 		Index:   uint64(m.Index),
 		Term:    uint64(m.Term),
 		Members: members,
@@ -150,7 +150,7 @@
 
 // FromReplicaMessage returns the wire form of a message between members of the log. The quorum age is rounded up, so that
 // the receiver never takes the sender's state for newer than it is.
-func FromReplicaMessage(m *replica.Message) message.ReplicaMessage {
+func FromReplicaMessage(m *raft.Message) message.ReplicaMessage {
 	c := m.Config()
 	age := unknownAgeMicros
 	if c.QuorumAge != math.MaxInt64 {
@@ -181,7 +181,7 @@
 
 // ToReplicaMessage converts a message between members of the log from its wire form. It fails if its entries don't directly
 // follow the message's index, or if a snapshot message lists no members.
-func ToReplicaMessage(m message.ReplicaMessage) (*replica.Message, error) {
+func ToReplicaMessage(m message.ReplicaMessage) (*raft.Message, error) {
 	entries, err := ToReplicaEntries(m.Entries)
 	if err != nil {
 		return nil, err
@@ -194,18 +194,18 @@
 		return nil, Error.New("part of a snapshot: %w", err)
 	}
 	members := ToReplicaMembers(m.Members)
-	if m.Kind == string(replica.KindSnapshot) && members == nil {
+	if m.Kind == string(raft.KindSnapshot) && members == nil {
 		return nil, Error.New("snapshot to entry %d has no members", m.Index)
 	}
 	age := time.Duration(math.MaxInt64)
 	if m.QuorumAgeMicros != unknownAgeMicros {
 		age = time.Duration(m.QuorumAgeMicros) * time.Microsecond
 	}
-	return replica.NewMessage(replica.MessageConfig{
-		Kind:      replica.MessageKind(m.Kind),
+	return raft.NewMessage(raft.MessageConfig{
+		Kind:      raft.MessageKind(m.Kind),
 		Cluster:   m.Cluster,
-		From:      replica.MemberID(m.From),
-		To:        replica.MemberID(m.To),
+		From:      raft.MemberID(m.From),
+		To:        raft.MemberID(m.To),
 		ReplyTo:   m.ReplyTo,
 		Term:      uint64(m.Term),
 		Index:     uint64(m.Index),
