--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -126,7 +126,7 @@
 // Snapshot implements figpier.StateMachine.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	m := message.CatalogState{
-		Configuration: codec.FromCatalog(c.state.configuration),
+		Configuration: codec.FromConfigurationWithDocument(c.state.configuration),
 		Answers:       []message.EditAnswer{},
 	}
 	for _, o := range c.state.order {
--- a/internal/control/shards/messages.go
+++ b/internal/control/shards/messages.go
@@ -83,7 +83,7 @@
 		Leaving:    m.Leaving,
 	}, now)
 	l := &message.ShardLease{Leading: true, LeaseMillis: int(s.config.LeaseTime.Milliseconds())}
-	if m.Mark == codec.ShardMark(held) {
+	if m.Mark == codec.ShardAssignmentsDigest(held) {
 		l.Same = true
 		return l
 	}
--- a/internal/link/web/pass.go
+++ b/internal/link/web/answer.go
@@ -11,9 +11,9 @@
 // headerRetryAfterMillis carries a refusal's retry delay in milliseconds between nodes.
 const headerRetryAfterMillis = figpier.HeaderPrefix + "Retry-After-Ms"
 
-// PassAnswer streams an answer to the caller with its headers unchanged. It returns an error if the answer breaks off or
+// StreamAnswer streams an answer to the caller with its headers unchanged. It returns an error if the answer breaks off or
 // can't be written.
-func PassAnswer(w http.ResponseWriter, a *figpier.Answer) error {
+func StreamAnswer(w http.ResponseWriter, a *figpier.Answer) error {
 	h := w.Header()
 	for name, values := range a.Header() {
 		h[name] = values
@@ -35,8 +35,8 @@
 	return stream(w, a.Body(), a.Length())
 }
 
-// TellRefusal answers another node with a refusal, which is written in headers without a body.
-func TellRefusal(w http.ResponseWriter, r *figpier.Refusal) {
+// WriteRefusalHeaders answers another node with a refusal, which is written in headers without a body.
+func WriteRefusalHeaders(w http.ResponseWriter, r *figpier.Refusal) {
 	h := w.Header()
 	h.Set(figpier.HeaderRefusal, string(r.Reason()))
 	if r.NotRun() {
@@ -50,9 +50,9 @@
 	w.WriteHeader(r.Status())
 }
 
-// ToldRefusal parses a refusal that TellRefusal wrote, and returns false if the answer is not a refusal. A refusal without
+// ParseRefusalHeaders parses a refusal that WriteRefusalHeaders wrote, and returns false if the answer is not a refusal. A refusal without
 // the not-run mark counts as one whose request may have run.
-func ToldRefusal(h http.Header) (*figpier.Refusal, bool) {
+func ParseRefusalHeaders(h http.Header) (*figpier.Refusal, bool) {
 	reason := h.Get(figpier.HeaderRefusal)
 	if reason == "" {
 		return nil, false
--- a/internal/link/web/check.go
+++ b/internal/link/web/check.go
@@ -15,9 +15,9 @@
 	minSearchedKeyBytes = 8
 )
 
-// Check returns a *figpier.Refusal for a request that must not be passed on: one with an ambiguous path, with a header that
+// CheckRequest returns a *figpier.Refusal for a request that must not be passed on: one with an ambiguous path, with a header that
 // only the system may set other than the allowed one, or with the customer key in a place that the backend server sees.
-func Check(r *http.Request, allowed string) error {
+func CheckRequest(r *http.Request, allowed string) error {
 	if !unambiguousTarget(r) {
 		return refuseMalformed("path")
 	}
--- a/internal/link/web/bound.go
+++ b/internal/link/web/deadline.go
@@ -9,9 +9,9 @@
 // refusalMargin is the time after a request's deadline in which a refusal may still be written.
 const refusalMargin = time.Second
 
-// Bound sets deadlines on a connection, so that a caller that sends its body or reads the answer too slowly can't hold the
+// SetRequestDeadline sets deadlines on a connection, so that a caller that sends its body or reads the answer too slowly can't hold the
 // request longer than its remaining time. The handler must call release when the request has ended.
-func Bound(w http.ResponseWriter, remaining time.Duration) (release func()) {
+func SetRequestDeadline(w http.ResponseWriter, remaining time.Duration) (release func()) {
 	c := http.NewResponseController(w)
 	end := time.Now().Add(remaining + refusalMargin)
 	_ = c.SetReadDeadline(end)
@@ -19,9 +19,9 @@
 	return func() { _ = c.SetWriteDeadline(time.Time{}) }
 }
 
-// AbortWith makes writes of an answer fail once the context ends, also a write that is blocked because the caller doesn't
+// AbortWritesOnDone makes writes of an answer fail once the context ends, also a write that is blocked because the caller doesn't
 // read. The handler must call release before it returns.
-func AbortWith(ctx context.Context, w http.ResponseWriter) (release func()) {
+func AbortWritesOnDone(ctx context.Context, w http.ResponseWriter) (release func()) {
 	aborted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(aborted)
--- a/internal/link/web/dispatch.go
+++ b/internal/link/web/forward.go
@@ -25,8 +25,8 @@
 type TransportConfig struct {
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// Unanswered is how long the other host may leave data or a keep-alive probe unacknowledged.
-	Unanswered time.Duration
+	// UnacknowledgedTimeout is how long the other host may leave data or a keep-alive probe unacknowledged.
+	UnacknowledgedTimeout time.Duration
 	// IdleTimeout is how long a connection without a request is kept.
 	IdleTimeout time.Duration
 	// IdleConnections is the number of idle connections kept for each address.
@@ -39,11 +39,11 @@
 		Timeout: c.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     c.Unanswered,
-			Interval: c.Unanswered,
+			Idle:     c.UnacknowledgedTimeout,
+			Interval: c.UnacknowledgedTimeout,
 			Count:    keepAliveProbes,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.Unanswered) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.UnacknowledgedTimeout) },
 	}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -65,9 +65,9 @@
 	return Error.Wrap(optionErr)
 }
 
-// Dispatch returns the request that forwards an inbound request to an address, and the record of this attempt. The target
+// NewForwardRequest returns the request that forwards an inbound request to an address, and the record of this attempt. The target
 // is passed on byte for byte, and the headers are copied.
-func Dispatch(ctx context.Context, address string, i *figpier.Inbound, body io.ReadCloser) (*http.Request, *Attempt) {
+func NewForwardRequest(ctx context.Context, address string, i *figpier.Inbound, body io.ReadCloser) (*http.Request, *Attempt) {
 	a := &Attempt{}
 	a.bodyEnded.Store(i.Length() == 0)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.reached.Store(true) }}
@@ -98,7 +98,7 @@
 }
 
 // retriedByTransport reports whether net/http resends a request without a body by itself when its connection breaks. Such
-// requests get a body that the transport can't replay, because the caller of Dispatch decides on retries.
+// requests get a body that the transport can't replay, because the caller of NewForwardRequest decides on retries.
 func retriedByTransport(i *figpier.Inbound) bool {
 	switch i.Method() {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
--- a/internal/link/web/refusal.go
+++ b/internal/link/web/refusal.go
@@ -27,7 +27,7 @@
 
 // RefuseEarly writes a refusal of a request whose deadline is not known yet.
 func RefuseEarly(w http.ResponseWriter, r *figpier.Refusal) {
-	defer Bound(w, earlyRefusalTimeout)()
+	defer SetRequestDeadline(w, earlyRefusalTimeout)()
 	WriteRefusal(w, r)
 }
 
--- a/internal/link/web/relay.go
+++ b/internal/link/web/relay.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Outgoing returns the request that passes a received one on to an address with the given body, and the record of this
+// NewRelayRequest returns the request that passes a received one on to an address with the given body, and the record of this
 // attempt. Hop-by-hop headers and those that only the system may set are left out.
-func Outgoing(ctx context.Context, r *http.Request, address string, body io.ReadCloser, length int64) (*http.Request, *Attempt) {
+func NewRelayRequest(ctx context.Context, r *http.Request, address string, body io.ReadCloser, length int64) (*http.Request, *Attempt) {
 	a := &Attempt{}
 	a.bodyEnded.Store(length == 0)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.reached.Store(true) }}
@@ -108,17 +108,17 @@
 	return allowed
 }
 
-// Framed reports whether an answer is final and its end can be told from a broken connection.
-func Framed(answer *http.Response) bool {
+// HasDetectableEnd reports whether an answer is final and its end can be told from a broken connection.
+func HasDetectableEnd(answer *http.Response) bool {
 	if answer.StatusCode < minFinalStatus {
 		return false
 	}
 	return answer.ProtoMajor > 1 || answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 }
 
-// Overlap prepares for an answer that begins before the request's body has been read to its end. On HTTP/1.1 the connection
+// PrepareEarlyAnswer prepares for an answer that begins before the request's body has been read to its end. On HTTP/1.1 the connection
 // is then closed after the answer, because the rest of the body must not be read as another request.
-func Overlap(w http.ResponseWriter, r *http.Request, a *Attempt) {
+func PrepareEarlyAnswer(w http.ResponseWriter, r *http.Request, a *Attempt) {
 	if r.ProtoMajor > 1 || a.bodyEnded.Load() {
 		return
 	}
@@ -126,9 +126,9 @@
 	w.Header().Set("Connection", "close")
 }
 
-// WriteAnswer streams an answer with its end-to-end headers and its trailers. It returns an error if the answer breaks off
+// RelayResponse streams an answer with its end-to-end headers and its trailers. It returns an error if the answer breaks off
 // or can't be written.
-func WriteAnswer(w http.ResponseWriter, answer *http.Response) error {
+func RelayResponse(w http.ResponseWriter, answer *http.Response) error {
 	CopyEndToEnd(w.Header(), answer.Header)
 	for name := range allowedTrailers(answer.Trailer) {
 		w.Header().Add("Trailer", name)
--- a/internal/link/web/replay.go
+++ b/internal/link/web/replayable_body.go
@@ -11,9 +11,9 @@
 // maxReplayBytes is the greatest length of a body that is buffered for further attempts.
 const maxReplayBytes = 64 << 10
 
-// Replay is a request body for several attempts. A short body of known length is buffered and can be sent again; any other
+// ReplayableBody is a request body for several attempts. A short body of known length is buffered and can be sent again; any other
 // is streamed and can't, once an attempt has begun to read it.
-type Replay struct {
+type ReplayableBody struct {
 	buffered []byte
 	// streamed is nil for a buffered body.
 	streamed io.ReadCloser
@@ -22,32 +22,32 @@
 	started atomic.Bool
 }
 
-// NewReplay reads the whole body if it is to be buffered, and returns a *figpier.Refusal if it breaks off. A length of -1
+// NewReplayableBody reads the whole body if it is to be buffered, and returns a *figpier.Refusal if it breaks off. A length of -1
 // means that it is not known.
-func NewReplay(body io.ReadCloser, length int64) (*Replay, error) {
+func NewReplayableBody(body io.ReadCloser, length int64) (*ReplayableBody, error) {
 	if length < 0 || length > maxReplayBytes {
-		return &Replay{streamed: body, length: length}, nil
+		return &ReplayableBody{streamed: body, length: length}, nil
 	}
 	buffered, err := io.ReadAll(body)
 	if err != nil {
 		return nil, figpier.Refuse(figpier.RefusalMalformed)
 	}
-	return &Replay{buffered: buffered, length: length}, nil
+	return &ReplayableBody{buffered: buffered, length: length}, nil
 }
 
 // Length returns the length of the body in bytes, -1 where it is not known.
-func (b *Replay) Length() int64 { return b.length }
+func (b *ReplayableBody) Length() int64 { return b.length }
 
 // Body returns the body for one attempt.
-func (b *Replay) Body() io.ReadCloser {
+func (b *ReplayableBody) Body() io.ReadCloser {
 	if b.streamed == nil {
 		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
 	return &startedBody{ReadCloser: b.streamed, started: &b.started}
 }
 
-// Spent reports whether no further attempt is possible, because a streamed body has been read from.
-func (b *Replay) Spent() bool { return b.streamed != nil && b.started.Load() }
+// Consumed reports whether no further attempt is possible, because a streamed body has been read from.
+func (b *ReplayableBody) Consumed() bool { return b.streamed != nil && b.started.Load() }
 
 // startedBody records whether a streamed body has been read from.
 type startedBody struct {
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -13,7 +13,7 @@
 
 // ServeCall implements figpier.CallServer. What is left of the retry budget, and the cut-offs, go back with the headers.
 func (s *Server) ServeCall(w http.ResponseWriter, r *http.Request, c *figpier.Call) {
-	defer web.Bound(w, c.Deadline().Sub(s.clock.Now()))()
+	defer web.SetRequestDeadline(w, c.Deadline().Sub(s.clock.Now()))()
 	w.Header().Set(figpier.HeaderRequestID, string(c.RequestID()))
 	run, err := s.runner.Begin(r.Context(), c)
 	if err != nil {
@@ -30,7 +30,7 @@
 		s.cutOffs.Record(c, live.CutOff())
 		s.counters.Observe("backend", elapsed)
 	}()
-	out, attempt := web.Outgoing(run.Context(), r, run.Address(), r.Body, r.ContentLength)
+	out, attempt := web.NewRelayRequest(run.Context(), r, run.Address(), r.Body, r.ContentLength)
 	out.Header.Set(figpier.HeaderCall, string(run.Handle()))
 	out.Header.Set(figpier.HeaderRequestID, string(c.RequestID()))
 	answer, err := s.roundTrip(out)
@@ -43,7 +43,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	kind = s.passNotRunMark(w, answer, c, live)
 	s.setResultHeaders(w, c, live.TakeBudget(c.Budget()), live.CutOff())
-	web.Overlap(w, r, attempt)
+	web.PrepareEarlyAnswer(w, r, attempt)
 	if err := writeAnswer(run.Context(), w, answer); err != nil {
 		kind = failureKind(attempt, run.Context())
 		// Abort the connection, so that a truncated answer is not taken for a complete one.
@@ -59,7 +59,7 @@
 		s.closeIdleAfterTimeout(out.Context())
 		return nil, err
 	}
-	if out.Method != http.MethodHead && !web.Framed(answer) {
+	if out.Method != http.MethodHead && !web.HasDetectableEnd(answer) {
 		_ = answer.Body.Close()
 		return nil, Error.New("the answer states neither a length nor chunks")
 	}
@@ -76,8 +76,8 @@
 
 // writeAnswer streams an answer. It stops when the request ends, even while blocked on a caller that does not read.
 func writeAnswer(ctx context.Context, w http.ResponseWriter, answer *http.Response) error {
-	defer web.AbortWith(ctx, w)()
-	return web.WriteAnswer(w, answer)
+	defer web.AbortWritesOnDone(ctx, w)()
+	return web.RelayResponse(w, answer)
 }
 
 // passNotRunMark passes on a backend server's "not run" mark, and returns the outcome. A request that has made exit calls
--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -71,10 +71,10 @@
 
 func newTransport() *http.Transport {
 	return web.NewTransport(web.TransportConfig{
-		DialTimeout:     dialTimeout,
-		Unanswered:      unackedTimeout,
-		IdleTimeout:     idleTimeout,
-		IdleConnections: maxIdleConnections,
+		DialTimeout:           dialTimeout,
+		UnacknowledgedTimeout: unackedTimeout,
+		IdleTimeout:           idleTimeout,
+		IdleConnections:       maxIdleConnections,
 	})
 }
 
--- a/internal/traffic/caller/listener.go
+++ b/internal/traffic/caller/listener.go
@@ -96,7 +96,7 @@
 
 // enter checks the form of a request and asks the gate to admit it.
 func (l *Listener) enter(r *http.Request, received time.Time) (*figpier.Call, error) {
-	if err := web.Check(r, figpier.HeaderKey); err != nil {
+	if err := web.CheckRequest(r, figpier.HeaderKey); err != nil {
 		return nil, err
 	}
 	return l.gate.Enter(r.Context(), figpier.NewArrival(figpier.ArrivalConfig{
--- a/internal/traffic/delivery/deliver.go
+++ b/internal/traffic/delivery/deliver.go
@@ -92,7 +92,7 @@
 func (b *backendCall) send(ctx context.Context, address string, i *figpier.Inbound) (*figpier.Answer, error) {
 	remaining := b.call.Deadline().Sub(b.began)
 	work, cancel := context.WithTimeout(ctx, remaining)
-	out, attempt := web.Dispatch(work, address, i, i.Body())
+	out, attempt := web.NewForwardRequest(work, address, i, i.Body())
 	b.server.dialect.SetHeaders(out.Header, b.call, remaining)
 	response, err := b.server.transport.RoundTrip(out) //nolint:bodyclose // closed with the answer
 	if err != nil {
--- a/internal/traffic/delivery/server.go
+++ b/internal/traffic/delivery/server.go
@@ -50,10 +50,10 @@
 	return &Server{
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
-			DialTimeout:     dialTimeout,
-			Unanswered:      unackedTimeout,
-			IdleTimeout:     idleTimeout,
-			IdleConnections: maxIdleConnections,
+			DialTimeout:           dialTimeout,
+			UnacknowledgedTimeout: unackedTimeout,
+			IdleTimeout:           idleTimeout,
+			IdleConnections:       maxIdleConnections,
 		}),
 	}
 }
@@ -98,7 +98,7 @@
 		return
 	}
 	call := figpier.NewCall(c)
-	defer web.Bound(w, c.Deadline.Sub(now))()
+	defer web.SetRequestDeadline(w, c.Deadline.Sub(now))()
 	answer, err := s.Deliver(r.Context(), call, inbound(r, call, now))
 	w.Header().Set(figpier.HeaderCutOff, strconv.FormatUint(uint64(s.admission.CutOff()), 10))
 	if err != nil {
@@ -106,7 +106,7 @@
 		return
 	}
 	defer func() { _ = answer.Body().Close() }()
-	if err := web.PassAnswer(w, answer); err != nil {
+	if err := web.StreamAnswer(w, answer); err != nil {
 		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
@@ -130,5 +130,5 @@
 func (s *Server) refuse(w http.ResponseWriter, c *figpier.Call, r *figpier.Refusal) {
 	s.counters.Refused(r.Reason())
 	s.log.Refused(c, r)
-	web.TellRefusal(w, r)
+	web.WriteRefusalHeaders(w, r)
 }
--- a/internal/traffic/exit/attempts.go
+++ b/internal/traffic/exit/attempts.go
@@ -35,7 +35,7 @@
 // runAttempts attempts the call at one member after another until there is an answer or no further attempt is allowed. The
 // live call takes note of every cut-off met on the way.
 func (h *Handler) runAttempts(ctx context.Context, w http.ResponseWriter, r *http.Request, c *figpier.Call, l figpier.LiveCall) {
-	body, err := web.NewReplay(r.Body, r.ContentLength)
+	body, err := web.NewReplayableBody(r.Body, r.ContentLength)
 	if err != nil {
 		h.refuse(w, c, web.AsRefusal(err))
 		return
@@ -56,7 +56,7 @@
 		a := h.startAttempt(ctx, r, c, l, m, body)
 		l.RecordCutOff(h.router.CutOff(c.Service()))
 		if a.outcome.Kind() == figpier.OutcomeDone {
-			web.Overlap(w, r, a.sent)
+			web.PrepareEarlyAnswer(w, r, a.sent)
 			h.streamAnswer(ctx, w, a)
 			return
 		}
@@ -72,12 +72,12 @@
 }
 
 // mayRetry decides whether to make another attempt, and counts and logs the decision.
-func (h *Handler) mayRetry(ctx context.Context, c *figpier.Call, l figpier.LiveCall, o figpier.Outcome, b *web.Replay) bool {
+func (h *Handler) mayRetry(ctx context.Context, c *figpier.Call, l figpier.LiveCall, o figpier.Outcome, b *web.ReplayableBody) bool {
 	switch {
 	case ctx.Err() != nil:
 		h.recordRetryDecision(c, figpier.NoRetryDeadline)
 		return false
-	case b.Spent():
+	case b.Consumed():
 		h.recordRetryDecision(c, figpier.NoRetryBodyStarted)
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // startAttempt sends the call to one member. The router counts the attempt as open until endAttempt is called.
-func (h *Handler) startAttempt(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) *result {
+func (h *Handler) startAttempt(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.ReplayableBody) *result {
 	began := h.clock.Now()
 	h.router.Begin(m)
 	a, cutOff := h.send(ctx, r, c, l, m, b)
@@ -112,7 +112,7 @@
 
 // send makes the request to the member with a portion of the live call's retry budget, and gives back what is left of it.
 // After a failure that came once the request had been sent, nothing is given back, as the member may have used it up.
-func (h *Handler) send(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) (*result, figpier.Rank) {
+func (h *Handler) send(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.ReplayableBody) (*result, figpier.Rank) {
 	portion := h.decider.TakeBudgetPortion(l)
 	hop := c.Config()
 	hop.Budget = portion
@@ -121,7 +121,7 @@
 		l.ReturnBudget(portion)
 		return unreachedResult(err), figpier.MaxRank
 	}
-	out, attempt := web.Outgoing(ctx, r, m.PeerAddress(), b.Body(), b.Length())
+	out, attempt := web.NewRelayRequest(ctx, r, m.PeerAddress(), b.Body(), b.Length())
 	if h.config.TLS != nil {
 		out.URL.Scheme = "https"
 	}
@@ -243,7 +243,7 @@
 	if r.NotRun() {
 		w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
 	}
-	if err := web.WriteAnswer(w, a.answer); err != nil {
+	if err := web.RelayResponse(w, a.answer); err != nil {
 		// Abort the connection, so that a truncated answer is not taken for a complete one.
 		panic(http.ErrAbortHandler)
 	}
@@ -264,8 +264,8 @@
 func (h *Handler) streamAnswer(ctx context.Context, w http.ResponseWriter, a *result) {
 	defer a.close()
 	defer h.endAttempt(a)
-	defer web.AbortWith(ctx, w)()
-	if err := web.WriteAnswer(w, a.answer); err != nil {
+	defer web.AbortWritesOnDone(ctx, w)()
+	if err := web.RelayResponse(w, a.answer); err != nil {
 		kind := figpier.OutcomeFailed
 		if ctx.Err() != nil {
 			kind = figpier.OutcomeCancelled
--- a/internal/traffic/exit/handler.go
+++ b/internal/traffic/exit/handler.go
@@ -100,7 +100,7 @@
 		return
 	}
 	defer l.EndExit()
-	defer web.Bound(w, c.Deadline().Sub(h.clock.Now()))()
+	defer web.SetRequestDeadline(w, c.Deadline().Sub(h.clock.Now()))()
 	ctx, cancel := context.WithTimeout(r.Context(), c.Deadline().Sub(h.clock.Now()))
 	defer cancel()
 	defer context.AfterFunc(l.Context(), cancel)()
@@ -114,7 +114,7 @@
 // resolveCall returns the call that an exit request makes and the live call that it belongs to. The handle is empty unless
 // the live call was opened here; the caller of this method closes it, also after an error.
 func (h *Handler) resolveCall(r *http.Request) (c *figpier.Call, l figpier.LiveCall, ownHandle figpier.Handle, err error) {
-	if err := web.Check(r, figpier.HeaderCall); err != nil {
+	if err := web.CheckRequest(r, figpier.HeaderCall); err != nil {
 		return nil, nil, "", err
 	}
 	service := figpier.UpstreamService(strings.TrimSuffix(r.Host, figpier.ExitSuffix))
--- a/internal/traffic/forward/attempts.go
+++ b/internal/traffic/forward/attempts.go
@@ -45,7 +45,7 @@
 
 // runAttempts attempts the call at one member after another until there is an answer or no further attempt is allowed.
 func (f *Forwarder) runAttempts(ctx context.Context, i *figpier.Inbound, c *figpier.Call) (*figpier.Answer, error) {
-	body, err := web.NewReplay(i.Body(), i.Length())
+	body, err := web.NewReplayableBody(i.Body(), i.Length())
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 }
 
 // mayRetry decides whether to make another attempt, and counts and logs the decision.
-func (f *Forwarder) mayRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) bool {
+func (f *Forwarder) mayRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.ReplayableBody) bool {
 	reason, ok := f.decideRetry(ctx, c, a, p, body)
 	f.counters.Retried(reason)
 	f.log.Retried(c, reason)
@@ -99,12 +99,12 @@
 
 // decideRetry decides whether to make another attempt, and takes it from the service's retry budget. Attempts are free as
 // long as no backend server has got the request.
-func (f *Forwarder) decideRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.Replay) (figpier.RetryReason, bool) {
+func (f *Forwarder) decideRetry(ctx context.Context, c *figpier.Call, a *attempt, p *progress, body *web.ReplayableBody) (figpier.RetryReason, bool) {
 	now := f.clock.Now()
 	switch {
 	case ctx.Err() != nil || c.Deadline().Sub(now) < minRetryTime:
 		return figpier.NoRetryDeadline, false
-	case body.Spent():
+	case body.Consumed():
 		return figpier.NoRetryBodyStarted, false
 	case p.ran && !c.Idempotent():
 		return figpier.NoRetryUnsafe, false
@@ -143,7 +143,7 @@
 }
 
 // startAttempt sends the call to one member. The router counts the attempt as open until the answer's body has been read.
-func (f *Forwarder) startAttempt(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member, body *web.Replay) *attempt {
+func (f *Forwarder) startAttempt(ctx context.Context, i *figpier.Inbound, c *figpier.Call, m *figpier.Member, body *web.ReplayableBody) *attempt {
 	began := f.clock.Now()
 	f.router.Begin(m)
 	next := i.Config()
@@ -210,14 +210,14 @@
 	if err != nil {
 		return unreachedAttempt(err)
 	}
-	out, sent := web.Dispatch(ctx, m.PeerAddress(), i, i.Body())
+	out, sent := web.NewForwardRequest(ctx, m.PeerAddress(), i, i.Body())
 	out.Header.Set(figpier.HeaderEnvelope, envelope)
 	response, err := f.transport.RoundTrip(out)
 	if err != nil {
 		return f.failedAttempt(ctx, sent, err)
 	}
 	cutOff := cutOffHeader(response.Header)
-	if r, refused := web.ToldRefusal(response.Header); refused {
+	if r, refused := web.ParseRefusalHeaders(response.Header); refused {
 		_ = response.Body.Close()
 		return &attempt{refusal: r, kind: refusalOutcome(r), cutOff: cutOff}
 	}
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -56,10 +56,10 @@
 	return &Forwarder{
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
-			DialTimeout:     dialTimeout,
-			Unanswered:      unackedTimeout,
-			IdleTimeout:     idleTimeout,
-			IdleConnections: maxIdleConnections,
+			DialTimeout:           dialTimeout,
+			UnacknowledgedTimeout: unackedTimeout,
+			IdleTimeout:           idleTimeout,
+			IdleConnections:       maxIdleConnections,
 		}),
 		retryBudget: retrybudget.New(retrybudget.Config{Share: c.RetryShare, Window: c.RetryWindow, MinRetries: c.FreeRetries}),
 	}
--- a/internal/traffic/peer/listener.go
+++ b/internal/traffic/peer/listener.go
@@ -88,7 +88,7 @@
 // decodeCall decodes the call in a request's envelope. Service, route and idempotency are not taken from the envelope but
 // from this node's own profile.
 func (l *Listener) decodeCall(r *http.Request, now time.Time) (*figpier.Call, error) {
-	if err := web.Check(r, figpier.HeaderEnvelope); err != nil {
+	if err := web.CheckRequest(r, figpier.HeaderEnvelope); err != nil {
 		return nil, err
 	}
 	envelopes := r.Header.Values(figpier.HeaderEnvelope)
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -104,7 +104,7 @@
 	for _, w := range wire {
 		c.assignments = append(c.assignments, codec.ToShardAssignment(w))
 	}
-	c.digest = codec.ShardMark(c.assignments)
+	c.digest = codec.ShardAssignmentsDigest(c.assignments)
 	return c
 }
 
--- a/internal/wire/codec/configuration.go
+++ b/internal/wire/codec/configuration.go
@@ -149,9 +149,9 @@
 	return m
 }
 
-// FromCatalog returns the wire form of a configuration that control instances store, which includes the document of the
+// FromConfigurationWithDocument returns the wire form of a configuration that control instances store, which includes the document of the
 // routing table. The order is that of FromConfiguration.
-func FromCatalog(c *figpier.Configuration) message.Configuration {
+func FromConfigurationWithDocument(c *figpier.Configuration) message.Configuration {
 	m := fromConfigurationWithoutTable(c)
 	if t := c.Table(); t != nil {
 		w := FromTable(t)
--- a/internal/wire/codec/shard.go
+++ b/internal/wire/codec/shard.go
@@ -81,9 +81,9 @@
 	return wire
 }
 
-// ShardMark returns a digest of the shards and epochs of assignments. A node sends the digest of those that it knows, and
+// ShardAssignmentsDigest returns a digest of the shards and epochs of assignments. A node sends the digest of those that it knows, and
 // the assigner leaves the list out of its answer if the digest is still the same; the order counts.
-func ShardMark(all []*shard.Assignment) string {
+func ShardAssignmentsDigest(all []*shard.Assignment) string {
 	h := fnv.New64a()
 	for _, a := range all {
 		_, _ = fmt.Fprintf(h, "%d:%d,", a.Shard(), a.Epoch())
