--- a/internal/control/exchange/exchange.go
+++ b/internal/control/exchange/exchange.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// recordPlace stores the place of a control instance that answered.
-func (x *Exchange) recordPlace(address string, a *message.MembersAnswer) {
+// recordControl stores the address and location of a control instance that answered.
+func (x *Exchange) recordControl(address string, a *message.MembersAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.controls[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
@@ -151,31 +151,32 @@
 	})
 }
 
-// drop removes a control instance and the members learnt from it.
-func (x *Exchange) drop(address string) {
+// removeControl removes a control instance and the members learnt from it.
+func (x *Exchange) removeControl(address string) {
 	x.registry.RemoveSource(figpier.InstanceID(address))
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.controls, address)
 }
 
-// follow polls another control instance and merges its members into the registry. It drops them after SilenceTimeout without an answer, and when ctx ends.
+// follow polls another control instance and merges its members into the registry. It removes them after SilenceTimeout
+// without an answer, and when ctx ends.
 func (x *Exchange) follow(ctx context.Context, address string) {
-	defer x.drop(address)
+	defer x.removeControl(address)
 	known := message.MembersPoll{WaitMillis: int(x.config.PollWait.Milliseconds())}
 	lastAnswer := x.clock.Now()
 	for ctx.Err() == nil {
 		a, err := x.poll(ctx, address, known)
 		if err == nil {
 			lastAnswer = x.clock.Now()
-			x.recordPlace(address, a)
+			x.recordControl(address, a)
 			x.registry.Merge(figpier.InstanceID(address), codec.ToMemberDelta(a.MemberVersion, a.Members, a.Gone), a.Full)
 			known.Registry = a.Registry
 			known.MemberVersion = a.MemberVersion
 			continue
 		}
 		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.SilenceTimeout {
-			x.drop(address)
+			x.removeControl(address)
 			known.Registry = ""
 		}
 		x.waitForChange(ctx, x.config.RetryPause, nil)
--- a/internal/control/statemachines/combined.go
+++ b/internal/control/statemachines/combined.go
@@ -33,20 +33,20 @@
 func New(c Config) *Combined { return &Combined{config: c} }
 
 // Apply implements figpier.StateMachine.
-func (m *Combined) Apply(index uint64, command []byte) (answer any) {
+func (c *Combined) Apply(index uint64, command []byte) (answer any) {
 	if bytes.HasPrefix(command, []byte(shardPrefix)) {
-		return m.config.Shards.Apply(index, command)
+		return c.config.Shards.Apply(index, command)
 	}
-	return m.config.Catalog.Apply(index, command)
+	return c.config.Catalog.Apply(index, command)
 }
 
 // Snapshot implements figpier.StateMachine.
-func (m *Combined) Snapshot() ([]byte, error) {
-	catalog, err := m.config.Catalog.Snapshot()
+func (c *Combined) Snapshot() ([]byte, error) {
+	catalog, err := c.config.Catalog.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	shards, err := m.config.Shards.Snapshot()
+	shards, err := c.config.Shards.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -55,13 +55,13 @@
 }
 
 // Restore implements figpier.StateMachine.
-func (m *Combined) Restore(snapshot []byte) error {
+func (c *Combined) Restore(snapshot []byte) error {
 	var s message.MachineSnapshot
 	if err := json.Unmarshal(snapshot, &s); err != nil {
 		return Error.Wrap(err)
 	}
-	if err := m.config.Catalog.Restore([]byte(s.Catalog)); err != nil {
+	if err := c.config.Catalog.Restore([]byte(s.Catalog)); err != nil {
 		return err
 	}
-	return m.config.Shards.Restore([]byte(s.Shards))
+	return c.config.Shards.Restore([]byte(s.Shards))
 }
--- a/internal/policy/bucket/bucket_test.go
+++ b/internal/policy/bucket/bucket_test.go
@@ -220,7 +220,7 @@
 	assert.Equal(t, b.Ask(a, epoch.Add(testLeaseTime+testMaxClockDrift+200*time.Millisecond)).Tokens(), 2)
 }
 
-func TestLeaseExpiresAfterLeaseTimeAndClockError(t *testing.T) {
+func TestLeaseExpiresAfterLeaseTimeAndClockDrift(t *testing.T) {
 	b := New(Config{Limit: newLimit(1, 1), LeaseTime: testLeaseTime, MaxClockDrift: testMaxClockDrift}, epoch)
 	assert.Equal(t, b.Ask(TokenRequestConfig{Holder: "n", Sequence: 1, Target: 1, Waiting: 1}, epoch).Tokens(), 1)
 	end := epoch.Add(testLeaseTime + testMaxClockDrift)
@@ -231,7 +231,7 @@
 	assert.Equal(t, b.Free(), 0.0)
 }
 
-func TestHolderLeaseExpiresFromTimeOfAsk(t *testing.T) {
+func TestHolderLeaseExpiresFromTimeOfRequest(t *testing.T) {
 	h := NewHolder(HolderConfig{ID: "n", AnswerTimeout: testLeaseTime}, epoch)
 	h.SetWaiting(1)
 	assert.Equal(t, h.AddRequest(epoch), VerdictWait)
--- a/internal/policy/claim/table_test.go
+++ b/internal/policy/claim/table_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	testRetention = time.Hour
-	testRunTime   = time.Minute
+	testRetention  = time.Hour
+	testRunTimeout = time.Minute
 )
 
 var epoch = time.Unix(1_000_000, 0)
 
 func newTable() *Table {
-	return New(Config{Retention: testRetention, RunTimeout: testRunTime})
+	return New(Config{Retention: testRetention, RunTimeout: testRunTimeout})
 }
 
 func TestVerdictOnSecondAttempt(t *testing.T) {
@@ -29,7 +29,7 @@
 		want  Verdict
 	}{
 		{"while the first runs", func(*Table) {}, time.Second, VerdictRunning},
-		{"while the first runs for too long", func(*Table) {}, testRunTime, VerdictUnknown},
+		{"while the first runs for too long", func(*Table) {}, testRunTimeout, VerdictUnknown},
 		{"sooner than allowed", func(*Table) {}, time.Millisecond, VerdictTooSoon},
 		{"after the first finished", finish(StateFinished), time.Second, VerdictAlreadyRun},
 		{"after the first failed", finish(StateUnknown), time.Second, VerdictUnknown},
@@ -53,7 +53,7 @@
 }
 
 func TestClaimThatMayPredateALossIsUnknown(t *testing.T) {
-	b := New(Config{Retention: testRetention, RunTimeout: testRunTime, LostAt: epoch})
+	b := New(Config{Retention: testRetention, RunTimeout: testRunTimeout, LostAt: epoch})
 	k := NewKey("c", "s", "i")
 	b.Finish(k, "early", StateNotRun, epoch)
 	v, _ := b.Claim(k, "first", 0, epoch.Add(testRetention-1))
--- a/internal/policy/quota/debt_test.go
+++ b/internal/policy/quota/debt_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, owed, int(loan*nodes))
 }
 
-func TestPayIsBoundedByAvailableTokens(t *testing.T) {
+func TestSettleIsBoundedByAvailableTokens(t *testing.T) {
 	p := newTable()
 	l := limit(10, 10)
 	now := start.Add(window)
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -58,18 +58,18 @@
 
 // attemptEvent is an event in the reference model, which stores all of them.
 type attemptEvent struct {
-	pair  CustomerService
-	first bool
+	customerService CustomerService
+	first           bool
 }
 
 // modelCredit computes the credit of a pair by replaying all its events.
 func modelCredit(all []attemptEvent, p CustomerService, share float64) float64 {
 	left := maxCredit
 	for _, e := range all {
-		if e.pair == p && e.first {
+		if e.customerService == p && e.first {
 			left = min(maxCredit, left+share)
 		}
-		if e.pair == p && !e.first {
+		if e.customerService == p && !e.first {
 			left--
 		}
 	}
@@ -88,7 +88,7 @@
 			if rapid.IntRange(0, 2).Draw(t, "event") > 0 {
 				d.CountFirstAttempt(now, p, share)
 				firsts[p]++
-				all = append(all, attemptEvent{pair: p, first: true})
+				all = append(all, attemptEvent{customerService: p, first: true})
 				continue
 			}
 			b := NewBudget(1)
@@ -97,7 +97,7 @@
 			assert.Equal(t, ok, modelCredit(all, p, share) >= 1)
 			if ok {
 				retries[p]++
-				all = append(all, attemptEvent{pair: p})
+				all = append(all, attemptEvent{customerService: p})
 			}
 			assert.Assert(t, float64(retries[p]) <= maxCredit+share*float64(firsts[p]))
 		}
--- a/internal/policy/routing/routing.go
+++ b/internal/policy/routing/routing.go
@@ -28,7 +28,7 @@
 	lastPick map[figpier.UpstreamService]time.Time
 }
 
-// New returns a table without members.
+// New returns a tracker without members.
 func New(c Config) *Tracker {
 	return &Tracker{
 		config:   c,
--- a/internal/policy/routing/routing_test.go
+++ b/internal/policy/routing/routing_test.go
@@ -118,7 +118,7 @@
 	})
 }
 
-// endCall ends a call at a random member that has one, in the table and in the model.
+// endCall ends a call at a random member that has one, in the tracker and in the model.
 func endCall(t *rapid.T, table *Tracker, all []*modelMember, members []*figpier.Member, now time.Time) {
 	model := rapid.SampledFrom(all).Draw(t, "member")
 	if model.inFlight == 0 {
--- a/internal/policy/shard/assignment.go
+++ b/internal/policy/shard/assignment.go
@@ -82,7 +82,7 @@
 	assignments map[ID]*Assignment
 }
 
-// NewAssignments returns a map without assignments and without a term.
+// NewAssignments returns an empty set of assignments without a term.
 func NewAssignments() *Assignments { return &Assignments{assignments: map[ID]*Assignment{}} }
 
 // BeginTerm starts the term of a new leader. From then on, assignments decided in earlier terms are rejected.
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -101,13 +101,13 @@
 
 // setResultHeaders sets the headers that tell the calling node how many extra attempts are left, this node's cut-off, and
 // the lowest cut-off of the nodes further down. A request that came from outside, at depth 0, gets none.
-func (s *Server) setResultHeaders(w http.ResponseWriter, c *figpier.Call, unused int, below figpier.Rank) {
+func (s *Server) setResultHeaders(w http.ResponseWriter, c *figpier.Call, unused int, downstream figpier.Rank) {
 	if c.Depth() == 0 {
 		return
 	}
 	w.Header().Set(figpier.HeaderBudget, strconv.Itoa(unused))
 	w.Header().Set(figpier.HeaderCutOff, formatRank(s.admission.CutOff()))
-	w.Header().Set(figpier.HeaderTreeCutOff, formatRank(min(below, s.cutOffs.CutOff(c))))
+	w.Header().Set(figpier.HeaderTreeCutOff, formatRank(min(downstream, s.cutOffs.CutOff(c))))
 }
 
 func formatRank(r figpier.Rank) string { return strconv.FormatUint(uint64(r), 10) }
--- a/internal/traffic/gate/gate_test.go
+++ b/internal/traffic/gate/gate_test.go
@@ -53,8 +53,8 @@
 	return 7
 }
 
-func (j *fakeDecider) CallerRetryDelay(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
-	return j.wait
+func (d *fakeDecider) CallerRetryDelay(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
+	return d.wait
 }
 
 const secret = "fpk_secret"
@@ -73,8 +73,8 @@
 		Assignments: map[figpier.UpstreamService]*figpier.Assignment{"dates": figpier.NewAssignment(figpier.AssignmentConfig{Service: "dates", Profile: "p"})},
 		Keys:        map[figpier.KeyDigest]*figpier.Key{digest: figpier.NewKey(figpier.KeyConfig{ID: "k", Customer: "valv", Digest: digest})},
 	})}
-	l, r, j := &fakeLimiter{}, &fakeRanker{}, &fakeDecider{}
-	return &Gate{config: Config{Service: "dates"}, clock: fakeClock{}, view: v, limiter: l, ranker: r, decider: j}, v, l, r, j
+	l, r, d := &fakeLimiter{}, &fakeRanker{}, &fakeDecider{}
+	return &Gate{config: Config{Service: "dates"}, clock: fakeClock{}, view: v, limiter: l, ranker: r, decider: d}, v, l, r, d
 }
 
 func arrival(path string, keys ...string) *figpier.Arrival {
@@ -122,8 +122,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g, v, l, r, j := newGate()
-			v.stale, l.err, j.wait = tt.stale, tt.limit, tt.wait
+			g, v, l, r, d := newGate()
+			v.stale, l.err, d.wait = tt.stale, tt.limit, tt.wait
 			c, err := g.Enter(t.Context(), tt.arrival)
 			var refusal *figpier.Refusal
 			assert.Assert(t, errors.As(err, &refusal))
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -132,13 +132,14 @@
 	// exitCount is the number of exit calls so far, and openExits the number of those that have not ended.
 	exitCount int
 	openExits int
-	// openSince is when openExits last rose from 0, and exitTime the total of the earlier periods in which it was above 0.
-	openSince time.Time
-	exitTime  time.Duration
-	// exitsSealed means that no further exit call may begin.
-	exitsSealed bool
-	budget      retry.Budget
-	cutOff      figpier.Rank
+	// openSince is when openExits last rose from 0, and downstreamTime the total of the earlier periods in which it was
+	// above 0.
+	openSince      time.Time
+	downstreamTime time.Duration
+	// exitsRefused means that no further exit call may begin.
+	exitsRefused bool
+	budget       retry.Budget
+	cutOff       figpier.Rank
 }
 
 // Call implements figpier.LiveCall.
@@ -151,7 +152,7 @@
 func (l *liveCall) BeginExit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.exitsSealed {
+	if l.exitsRefused {
 		return false
 	}
 	l.exitCount++
@@ -168,7 +169,7 @@
 	defer l.mu.Unlock()
 	l.openExits--
 	if l.openExits == 0 {
-		l.exitTime += l.clock.Now().Sub(l.openSince)
+		l.downstreamTime += l.clock.Now().Sub(l.openSince)
 	}
 }
 
@@ -177,16 +178,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.openExits > 0 {
-		return l.exitTime + l.clock.Now().Sub(l.openSince)
+		return l.downstreamTime + l.clock.Now().Sub(l.openSince)
 	}
-	return l.exitTime
+	return l.downstreamTime
 }
 
 // RefuseExits implements figpier.LiveCall.
 func (l *liveCall) RefuseExits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.exitsSealed = true
+	l.exitsRefused = true
 	return l.exitCount
 }
 
--- a/internal/traffic/retry/decider.go
+++ b/internal/traffic/retry/decider.go
@@ -78,9 +78,9 @@
 
 // MayRetry implements figpier.RetryDecider.
 func (r *Decider) MayRetry(c *figpier.Call, l figpier.LiveCall, o figpier.Outcome) (bool, figpier.RetryReason) {
-	now, pair := r.clock.Now(), policy.NewCustomerService(c.Customer(), c.Service())
+	now, customerService := r.clock.Now(), policy.NewCustomerService(c.Customer(), c.Service())
 	a := policy.NewAttempt(policy.AttemptConfig{
-		CustomerService: pair,
+		CustomerService: customerService,
 		Kind:            o.Kind(),
 		Idempotent:      c.Idempotent(),
 		Deadline:        c.Deadline(),
@@ -89,7 +89,7 @@
 	defer r.mu.Unlock()
 	ok, reason := r.decider.MayRetry(now, a, l.TakeBudget)
 	if reason == figpier.NoRetryShare {
-		r.denied.Record(now, pair)
+		r.denied.Record(now, customerService)
 	}
 	return ok, reason
 }
--- a/internal/traffic/upstream/event.go
+++ b/internal/traffic/upstream/event.go
@@ -45,8 +45,8 @@
 // leaveRequested makes the node announce that it leaves.
 type leaveRequested struct{ event }
 
-// closeRequested makes the node refuse all new work; done is closed once that is published.
-type closeRequested struct {
+// refuseCallsRequested makes the node refuse all new work; done is closed once that is published.
+type refuseCallsRequested struct {
 	event
 	done chan struct{}
 }
@@ -66,7 +66,7 @@
 		u.onAnnouncementExpired(e)
 	case leaveRequested:
 		u.leaving = true
-	case closeRequested:
+	case refuseCallsRequested:
 		defer close(e.done)
 		u.closed = true
 	}
--- a/internal/traffic/upstream/upstream.go
+++ b/internal/traffic/upstream/upstream.go
@@ -106,7 +106,7 @@
 // RefuseCalls implements figpier.Backend; it returns once the control thread has published the change.
 func (u *Upstream) RefuseCalls() {
 	done := make(chan struct{})
-	if err := u.control.Post(closeRequested{done: done}); err == nil {
+	if err := u.control.Post(refuseCallsRequested{done: done}); err == nil {
 		<-done
 	}
 }
