--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -42,7 +42,7 @@
 
 // Start implements figpier.Service.
 func (c *Catalog) Start(_ context.Context, d figpier.Directory) error {
-	l, err := figpier.FindLog(d)
+	l, err := figpier.FindReplicatedLog(d)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 // Snapshot implements figpier.StateMachine.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	m := message.CatalogState{
-		Configuration: codec.FromCatalog(c.state.configuration),
+		Configuration: codec.FromConfigurationWithDocument(c.state.configuration),
 		Answers:       []message.EditAnswer{},
 	}
 	for _, o := range c.state.order {
--- a/internal/control/disk/disk_test.go
+++ b/internal/control/disk/disk_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 )
 
 func openDisk(t *testing.T, folder string) *Disk {
@@ -21,15 +21,15 @@
 }
 
 // proposeAndWrite runs a cluster of one member on a disk, commits proposals and returns the member.
-func proposeAndWrite(t *testing.T, d *Disk, proposals int) *replica.Machine {
+func proposeAndWrite(t *testing.T, d *Disk, proposals int) *raft.Machine {
 	t.Helper()
-	m := replica.New(replica.Config{
-		Self: d.Member(), Heartbeat: 1, Election: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
+	m := raft.New(raft.Config{
+		Self: d.Member(), Heartbeat: 1, ElectionTimeout: 10, BatchBytes: 1 << 10, PartBytes: 1 << 10,
 		Random: rand.New(rand.NewPCG(1, 2)), State: d.State(), Snapshot: d.Snapshot(), Entries: d.Entries(),
 	})
 	if m.Cluster() == "" {
-		self := replica.NewMember(replica.MemberConfig{ID: d.Member(), Voter: true})
-		m.Found(m.NextTick(), "log", replica.NewMembers(self), []byte("genesis"))
+		self := raft.NewMember(raft.MemberConfig{ID: d.Member(), Voter: true})
+		m.Bootstrap(m.NextTick(), "log", raft.NewMembers(self), []byte("genesis"))
 	}
 	m.Tick(m.NextTick())
 	writeEffects(t, d, m)
@@ -40,11 +40,11 @@
 	return m
 }
 
-func writeEffects(t *testing.T, d *Disk, m *replica.Machine) {
+func writeEffects(t *testing.T, d *Disk, m *raft.Machine) {
 	t.Helper()
-	for e := m.Take(); e.Writes(); e = m.Take() {
-		assert.NilError(t, d.Write([]*replica.Effects{e}))
-		m.Durable(m.NextTick(), e)
+	for e := m.TakeEffects(); e.HasWrites(); e = m.TakeEffects() {
+		assert.NilError(t, d.Write([]*raft.Effects{e}))
+		m.WritesDurable(m.NextTick(), e)
 	}
 }
 
@@ -81,7 +81,7 @@
 			d = openDisk(t, folder)
 			assert.Equal(t, string(d.Snapshot().Data()), "state")
 		}
-		term, last = m.Term(), m.Commit()
+		term, last = m.Term(), m.CommitIndex()
 		assert.NilError(t, d.Close())
 	}
 	assert.Equal(t, last, uint64(1+5*101))
@@ -103,18 +103,18 @@
 	for end := len(whole); end < len(all); end++ {
 		assert.NilError(t, os.WriteFile(path, all[:end], fileMode))
 		d := openDisk(t, folder)
-		assert.Equal(t, lastIndex(d), m.Commit()-1, "cut at %d", end)
+		assert.Equal(t, lastIndex(d), m.CommitIndex()-1, "cut at %d", end)
 		assert.Equal(t, d.DroppedBytes(), int64(end-len(whole)))
 		next := proposeAndWrite(t, d, 1)
 		assert.NilError(t, d.Close())
 		d = openDisk(t, folder)
-		assert.Equal(t, lastIndex(d), next.Commit())
+		assert.Equal(t, lastIndex(d), next.CommitIndex())
 		assert.NilError(t, d.Close())
 	}
 	unwritten := append(append([]byte{}, whole...), make([]byte, len(all)-len(whole))...)
 	assert.NilError(t, os.WriteFile(path, unwritten, fileMode))
 	d = openDisk(t, folder)
-	assert.Equal(t, lastIndex(d), m.Commit()-1)
+	assert.Equal(t, lastIndex(d), m.CommitIndex()-1)
 	assert.NilError(t, d.Close())
 }
 
--- a/internal/control/exchange/exchange.go
+++ b/internal/control/exchange/exchange.go
@@ -18,12 +18,12 @@
 	Place figpier.ControlPlace
 	// PollWait is how long a poll is held while there is no change, and the time between two checks of the log's members.
 	PollWait time.Duration
-	// AskTimeout is how long after PollWait an unanswered poll fails.
-	AskTimeout time.Duration
+	// AnswerTimeout is how long after PollWait an unanswered poll fails.
+	AnswerTimeout time.Duration
 	// RetryPause is the pause after a poll that failed.
 	RetryPause time.Duration
-	// Silence is how long the members of a control instance that does not answer are kept.
-	Silence time.Duration
+	// SilenceTimeout is how long the members of a control instance that does not answer are kept.
+	SilenceTimeout time.Duration
 }
 
 // Exchange is the service that polls the other control instances for their members and answers their polls.
@@ -35,12 +35,14 @@
 	messenger figpier.Messenger
 
 	mu sync.Mutex
-	// places are the places of the other control instances that answer, by address.
-	places map[string]figpier.ControlPlace
+	// controls holds the other control instances that answer, by address.
+	controls map[string]figpier.ControlPlace
 }
 
 // New returns an exchange that has not started.
-func New(c Config) *Exchange { return &Exchange{config: c, places: map[string]figpier.ControlPlace{}} }
+func New(c Config) *Exchange {
+	return &Exchange{config: c, controls: map[string]figpier.ControlPlace{}}
+}
 
 // Name implements figpier.Service.
 func (x *Exchange) Name() figpier.ServiceName { return figpier.ExchangeService }
@@ -54,7 +56,7 @@
 	if x.messenger, err = figpier.FindMessenger(d); err != nil {
 		return err
 	}
-	if x.log, err = figpier.FindLog(d); err != nil {
+	if x.log, err = figpier.FindReplicatedLog(d); err != nil {
 		return err
 	}
 	x.messenger.Handle(figpier.MethodMembers, x.handlePoll)
@@ -104,12 +106,12 @@
 	}
 }
 
-// Places implements figpier.Exchange.
-func (x *Exchange) Places() []figpier.ControlPlace {
+// Controls implements figpier.Exchange.
+func (x *Exchange) Controls() []figpier.ControlPlace {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	all := []figpier.ControlPlace{x.config.Place}
-	for _, p := range x.places {
+	for _, p := range x.controls {
 		all = append(all, p)
 	}
 	slices.SortFunc(all, func(a, b figpier.ControlPlace) int { return strings.Compare(a.Address(), b.Address()) })
@@ -138,42 +140,43 @@
 	}
 }
 
-// recordPlace stores the place of a control instance that answered.
-func (x *Exchange) recordPlace(address string, a *message.MembersAnswer) {
+// recordControl stores the address and location of a control instance that answered.
+func (x *Exchange) recordControl(address string, a *message.MembersAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.places[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
+	x.controls[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
 		Address:    address,
 		DataCentre: figpier.DataCentre(a.DataCentre),
 		Region:     figpier.Region(a.Region),
 	})
 }
 
-// drop removes a control instance's place and the members learnt from it.
-func (x *Exchange) drop(address string) {
-	x.registry.Drop(figpier.InstanceID(address))
+// removeControl removes a control instance and the members learnt from it.
+func (x *Exchange) removeControl(address string) {
+	x.registry.RemoveSource(figpier.InstanceID(address))
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.places, address)
+	delete(x.controls, address)
 }
 
-// follow polls another control instance and merges its members into the registry. It drops them after Silence without an answer, and when ctx ends.
+// follow polls another control instance and merges its members into the registry. It removes them after SilenceTimeout
+// without an answer, and when ctx ends.
 func (x *Exchange) follow(ctx context.Context, address string) {
-	defer x.drop(address)
+	defer x.removeControl(address)
 	known := message.MembersPoll{WaitMillis: int(x.config.PollWait.Milliseconds())}
 	lastAnswer := x.clock.Now()
 	for ctx.Err() == nil {
 		a, err := x.poll(ctx, address, known)
 		if err == nil {
 			lastAnswer = x.clock.Now()
-			x.recordPlace(address, a)
+			x.recordControl(address, a)
 			x.registry.Merge(figpier.InstanceID(address), codec.ToMemberDelta(a.MemberVersion, a.Members, a.Gone), a.Full)
 			known.Registry = a.Registry
 			known.MemberVersion = a.MemberVersion
 			continue
 		}
-		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.Silence {
-			x.drop(address)
+		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.SilenceTimeout {
+			x.removeControl(address)
 			known.Registry = ""
 		}
 		x.waitForChange(ctx, x.config.RetryPause, nil)
@@ -181,10 +184,10 @@
 }
 
 func (x *Exchange) poll(ctx context.Context, address string, known message.MembersPoll) (*message.MembersAnswer, error) {
-	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AskTimeout)
+	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AnswerTimeout)
 	defer cancel()
 	a := &message.MembersAnswer{}
-	if err := x.messenger.Ask(bounded, address, figpier.MethodMembers, known, a); err != nil {
+	if err := x.messenger.Request(bounded, address, figpier.MethodMembers, known, a); err != nil {
 		return nil, err
 	}
 	return a, nil
--- a/internal/control/pool/pool_test.go
+++ b/internal/control/pool/pool_test.go
@@ -46,10 +46,10 @@
 	x.limit = figpier.NewLimit(figpier.LimitConfig{Rate: rate, Burst: rate})
 	log, _ := test.NewNullLogger()
 	for _, a := range addresses {
-		p := New(Config{Address: a, Window: window, Overage: overage, Slack: slack, Log: logrus.NewEntry(log)})
+		p := New(Config{Address: a, Window: window, OverageFraction: overage, SlackRequests: slack, Log: logrus.NewEntry(log)})
 		i := fakeServices{all: x}
 		p.clock, p.catalog, p.registry, p.exchange, p.messenger = i, i, i, i, i
-		p.quotas = quota.New(quota.Config{Window: window, Overage: overage, Slack: slack, Opened: x.now})
+		p.quotas = quota.New(quota.Config{Window: window, OverageFraction: overage, SlackRequests: slack, Start: x.now})
 		x.pools[a] = p
 	}
 	return x
@@ -61,7 +61,9 @@
 func (i fakeServices) Start(context.Context, figpier.Directory) error  { return nil }
 func (i fakeServices) Stop(context.Context) error                      { return nil }
 func (i fakeServices) Settled(time.Time) bool                          { return true }
-func (i fakeServices) Polling(time.Time) (local, all int)              { return nodes / len(i.all.pools), nodes }
+func (i fakeServices) CountPolling(time.Time) (local, all int) {
+	return nodes / len(i.all.pools), nodes
+}
 
 func (i fakeServices) Configuration() *figpier.Configuration {
 	account := figpier.NewAccount(figpier.AccountConfig{Customer: customer, Limit: i.all.limit})
@@ -69,7 +71,7 @@
 	return figpier.NewConfiguration(figpier.ConfigurationConfig{Table: table})
 }
 
-func (i fakeServices) Places() []figpier.ControlPlace {
+func (i fakeServices) Controls() []figpier.ControlPlace {
 	var all []figpier.ControlPlace
 	for a := range i.all.pools {
 		all = append(all, figpier.NewControlPlace(figpier.ControlPlaceConfig{Address: a}))
@@ -77,7 +79,7 @@
 	return all
 }
 
-func (i fakeServices) Ask(ctx context.Context, address string, _ figpier.Method, ask, answer any) error {
+func (i fakeServices) Request(ctx context.Context, address string, _ figpier.Method, ask, answer any) error {
 	a, err := i.all.pools[address].handleTransfer(ctx, func(m any) error {
 		*m.(*message.TransferAsk) = ask.(message.TransferAsk)
 		return nil
@@ -139,7 +141,7 @@
 			x := newCluster(rate, "a", "b", "c", "d", "e")
 			x.requestTokens(t, 5*time.Second, "a", "b", "c", "d", "e")
 			x.requestTokens(t, 30*time.Second, asked...)
-			poolShare := quota.New(quota.Config{Window: window, Overage: overage, Slack: slack}).PoolShare(x.limit, nodes, nodes)
+			poolShare := quota.New(quota.Config{Window: window, OverageFraction: overage, SlackRequests: slack}).PoolShare(x.limit, nodes, nodes)
 			allowed := (rate*window.Seconds()+rate)*(1+overage) + slack
 			assert.Assert(t, float64(x.maxGrantedInWindow()) <= poolShare*allowed, "rate %v at %v: %d of %v", rate, asked, x.maxGrantedInWindow(), poolShare*allowed)
 			late := 0
--- a/internal/control/replica/sender.go
+++ b/internal/control/replica/sender.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"github.com/figpier/figpier"
-	decision "github.com/figpier/figpier/internal/policy/replica"
+	"github.com/figpier/figpier/internal/policy/raft"
 	"github.com/figpier/figpier/internal/wire/codec"
 	"github.com/figpier/figpier/internal/wire/message"
 )
@@ -27,7 +27,7 @@
 	return &sender{ctx: ctx, messenger: m, inFlight: map[string]int{}}
 }
 
-func (s *sender) send(messages []*decision.Message) {
+func (s *sender) send(messages []*raft.Message) {
 	for _, m := range messages {
 		if s.acquire(m.Address()) {
 			go s.deliver(m)
@@ -35,12 +35,12 @@
 	}
 }
 
-func (s *sender) deliver(m *decision.Message) {
+func (s *sender) deliver(m *raft.Message) {
 	defer s.release(m.Address())
 	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var received message.ReplicaReceived
-	_ = s.messenger.Ask(ctx, m.Address(), figpier.MethodReplica, codec.FromReplicaMessage(m), &received)
+	_ = s.messenger.Request(ctx, m.Address(), figpier.MethodReplica, codec.FromReplicaMessage(m), &received)
 }
 
 // acquire counts a message to an address, and returns false when too many are unanswered.
--- a/internal/control/machines/machines.go
+++ b/internal/control/statemachines/combined.go
@@ -1,4 +1,4 @@
-package machines
+package statemachines
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 // shardPrefix is how each shard command begins, and no other command.
 const shardPrefix = `{"begin":`
 
-// Config builds Machines.
+// Config builds a Combined.
 type Config struct {
 	// Catalog applies the operators' edits and all other commands that are not for shards.
 	Catalog figpier.StateMachine
@@ -24,29 +24,29 @@
 	Shards figpier.StateMachine
 }
 
-// Machines implements figpier.StateMachine by passing each command to the state machine that it is for.
-type Machines struct {
+// Combined implements figpier.StateMachine by passing each command to the state machine that it is for.
+type Combined struct {
 	config Config
 }
 
 // New returns a state machine that combines those of the configuration.
-func New(c Config) *Machines { return &Machines{config: c} }
+func New(c Config) *Combined { return &Combined{config: c} }
 
 // Apply implements figpier.StateMachine.
-func (m *Machines) Apply(index uint64, command []byte) (answer any) {
+func (c *Combined) Apply(index uint64, command []byte) (answer any) {
 	if bytes.HasPrefix(command, []byte(shardPrefix)) {
-		return m.config.Shards.Apply(index, command)
+		return c.config.Shards.Apply(index, command)
 	}
-	return m.config.Catalog.Apply(index, command)
+	return c.config.Catalog.Apply(index, command)
 }
 
 // Snapshot implements figpier.StateMachine.
-func (m *Machines) Snapshot() ([]byte, error) {
-	catalog, err := m.config.Catalog.Snapshot()
+func (c *Combined) Snapshot() ([]byte, error) {
+	catalog, err := c.config.Catalog.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	shards, err := m.config.Shards.Snapshot()
+	shards, err := c.config.Shards.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -55,13 +55,13 @@
 }
 
 // Restore implements figpier.StateMachine.
-func (m *Machines) Restore(snapshot []byte) error {
+func (c *Combined) Restore(snapshot []byte) error {
 	var s message.MachineSnapshot
 	if err := json.Unmarshal(snapshot, &s); err != nil {
 		return Error.Wrap(err)
 	}
-	if err := m.config.Catalog.Restore([]byte(s.Catalog)); err != nil {
+	if err := c.config.Catalog.Restore([]byte(s.Catalog)); err != nil {
 		return err
 	}
-	return m.config.Shards.Restore([]byte(s.Shards))
+	return c.config.Shards.Restore([]byte(s.Shards))
 }
--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -8,11 +8,11 @@
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/control/catalog"
 	"github.com/figpier/figpier/internal/control/exchange"
-	"github.com/figpier/figpier/internal/control/machines"
 	"github.com/figpier/figpier/internal/control/members"
 	"github.com/figpier/figpier/internal/control/operator"
 	"github.com/figpier/figpier/internal/control/replica"
 	"github.com/figpier/figpier/internal/control/shards"
+	"github.com/figpier/figpier/internal/control/statemachines"
 	"github.com/figpier/figpier/internal/control/subscription"
 	"github.com/figpier/figpier/internal/host/certificate"
 	"github.com/figpier/figpier/internal/host/metrics"
@@ -49,14 +49,14 @@
 	})
 	states := catalog.New()
 	assigner := shards.New(shards.Config{
-		Instance:   figpier.InstanceID(s.Instance()),
-		LeaseTime:  controlLease,
-		ClockError: controlClockError,
-		LossTime:   shardLossTimeout,
-		Backups:    shardBackups,
-		Log:        l,
+		Instance:      figpier.InstanceID(s.Instance()),
+		LeaseTime:     controlLease,
+		MaxClockDrift: controlMaxClockDrift,
+		LossTime:      shardLossTimeout,
+		Backups:       shardBackups,
+		Log:           l,
 	})
-	log.Drive(machines.New(machines.Config{Catalog: states, Shards: assigner}))
+	log.SetStateMachine(statemachines.New(statemachines.Config{Catalog: states, Shards: assigner}))
 	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
 		jsonrpc.New(messengerConfig(s, security)),
@@ -64,11 +64,11 @@
 		states,
 		members.New(members.Config{Lease: defaultMemberLease}),
 		exchange.New(exchange.Config{
-			Place:      newControlPlace(s),
-			PollWait:   defaultPollWait,
-			AskTimeout: defaultAskTimeout,
-			RetryPause: defaultRetryPause,
-			Silence:    defaultMemberLease,
+			Place:          newControlPlace(s),
+			PollWait:       defaultPollWait,
+			AnswerTimeout:  defaultAnswerTimeout,
+			RetryPause:     defaultRetryPause,
+			SilenceTimeout: defaultMemberLease,
 		}),
 		subscription.New(),
 		assigner,
--- a/internal/link/jsonrpc/messenger.go
+++ b/internal/link/jsonrpc/messenger.go
@@ -38,8 +38,8 @@
 	ServerTLS *tls.Config
 	// ClientTLS is the TLS configuration for connections to other processes, nil for plain TCP.
 	ClientTLS *tls.Config
-	// AskTimeout bounds a request whose context has no deadline.
-	AskTimeout time.Duration
+	// AnswerTimeout bounds a request whose context has no deadline.
+	AnswerTimeout time.Duration
 }
 
 // Messenger implements figpier.Messenger with one connection to each address. Both ends of a connection may send requests.
@@ -170,12 +170,12 @@
 	return answer, nil
 }
 
-// Ask implements figpier.Messenger. After a timeout or a failure of the connection it closes the connection, so that the
+// Request implements figpier.Messenger. After a timeout or a failure of the connection it closes the connection, so that the
 // next request opens a new one; it keeps it if the caller cancelled the request or the other process answered with an
 // error.
-func (m *Messenger) Ask(ctx context.Context, address string, method figpier.Method, message, answer any) error {
+func (m *Messenger) Request(ctx context.Context, address string, method figpier.Method, message, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
-		c, cancel := context.WithTimeout(ctx, m.config.AskTimeout)
+		c, cancel := context.WithTimeout(ctx, m.config.AnswerTimeout)
 		defer cancel()
 		ctx = c
 	}
--- a/internal/policy/replica/effects.go
+++ b/internal/policy/raft/effects.go
@@ -1,4 +1,4 @@
-package replica
+package raft
 
 // Effects lists what the caller has to do for a member. Messages are sent only after the writes of these and of all
 // earlier effects are durable; committed entries may be applied at once.
@@ -33,13 +33,13 @@
 // Committed returns the newly committed entries, to be applied to the state machine in this order.
 func (e *Effects) Committed() []*Entry { return e.committed }
 
-// Writes reports whether the effects hold a state, entries or a snapshot to make durable.
-func (e *Effects) Writes() bool {
+// HasWrites reports whether the effects hold a state, entries or a snapshot to make durable.
+func (e *Effects) HasWrites() bool {
 	return e.state != nil || len(e.entries) > 0 || e.snapshot != nil
 }
 
-// Last returns the index and term of the last entry that is durable after the writes, or zeros if they change no entry.
-func (e *Effects) Last() (index, term uint64) {
+// LastDurable returns the index and term of the last entry that is durable after the writes, or zeros if they change no entry.
+func (e *Effects) LastDurable() (index, term uint64) {
 	if n := len(e.entries); n > 0 {
 		return e.entries[n-1].Index(), e.entries[n-1].Term()
 	}
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -58,18 +58,18 @@
 
 // attemptEvent is an event in the reference model, which stores all of them.
 type attemptEvent struct {
-	pair  Pair
-	first bool
+	customerService CustomerService
+	first           bool
 }
 
 // modelCredit computes the credit of a pair by replaying all its events.
-func modelCredit(all []attemptEvent, p Pair, share float64) float64 {
+func modelCredit(all []attemptEvent, p CustomerService, share float64) float64 {
 	left := maxCredit
 	for _, e := range all {
-		if e.pair == p && e.first {
+		if e.customerService == p && e.first {
 			left = min(maxCredit, left+share)
 		}
-		if e.pair == p && !e.first {
+		if e.customerService == p && !e.first {
 			left--
 		}
 	}
@@ -79,25 +79,25 @@
 func TestRetryShareMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share = 0.25
-		j, now := New(), time.Unix(0, 0)
+		d, now := New(), time.Unix(0, 0)
 		var all []attemptEvent
-		firsts, retries := map[Pair]int{}, map[Pair]int{}
+		firsts, retries := map[CustomerService]int{}, map[CustomerService]int{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
-			p := NewPair(figpier.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), "booking")
+			p := NewCustomerService(figpier.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), "booking")
 			if rapid.IntRange(0, 2).Draw(t, "event") > 0 {
-				j.First(now, p, share)
+				d.CountFirstAttempt(now, p, share)
 				firsts[p]++
-				all = append(all, attemptEvent{pair: p, first: true})
+				all = append(all, attemptEvent{customerService: p, first: true})
 				continue
 			}
 			b := NewBudget(1)
-			a := NewAttempt(AttemptConfig{Pair: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
-			ok, _ := j.Again(now, a, b.Take)
+			a := NewAttempt(AttemptConfig{CustomerService: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
+			ok, _ := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, modelCredit(all, p, share) >= 1)
 			if ok {
 				retries[p]++
-				all = append(all, attemptEvent{pair: p})
+				all = append(all, attemptEvent{customerService: p})
 			}
 			assert.Assert(t, float64(retries[p]) <= maxCredit+share*float64(firsts[p]))
 		}
@@ -130,19 +130,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j, p, b := New(), NewPair("c", "booking"), NewBudget(c.budget)
+			d, p, b := New(), NewCustomerService("c", "booking"), NewBudget(c.budget)
 			for range 20 {
-				j.First(now, p, 0.1)
+				d.CountFirstAttempt(now, p, 0.1)
 			}
 			if c.whole {
-				j.statsOf(now, "booking").overloaded = 10
+				d.statsOf(now, "booking").overloaded = 10
 			}
 			deadline := now.Add(time.Second)
 			if c.late {
 				deadline = now
 			}
-			a := NewAttempt(AttemptConfig{Pair: p, Kind: c.kind, Idempotent: c.idempotent, Deadline: deadline})
-			ok, reason := j.Again(now, a, b.Take)
+			a := NewAttempt(AttemptConfig{CustomerService: p, Kind: c.kind, Idempotent: c.idempotent, Deadline: deadline})
+			ok, reason := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, c.again)
 			assert.Equal(t, reason, c.want)
 		})
@@ -164,7 +164,7 @@
 			if k == "" {
 				want = 0
 			}
-			assert.Equal(t, p.Attempt(now, "c", k, interval), want)
+			assert.Equal(t, p.Wait(now, "c", k, interval), want)
 			if want == 0 {
 				passed[k] = append(passed[k], now)
 			}
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -7,7 +7,7 @@
 
 	"github.com/figpier/figpier"
 	policy "github.com/figpier/figpier/internal/policy/admission"
-	"github.com/figpier/figpier/internal/policy/spell"
+	"github.com/figpier/figpier/internal/policy/episode"
 )
 
 // Bounds of the refusals that Bindings reports.
@@ -23,8 +23,8 @@
 type Config struct {
 	// Service is the service of the backend server beside the node.
 	Service figpier.UpstreamService
-	// Stated makes the announced slots the limit; otherwise the limit is derived from service times.
-	Stated bool
+	// FixedLimit makes the announced slots the limit; otherwise the limit is derived from service times.
+	FixedLimit bool
 }
 
 // Admission implements figpier.Admission and figpier.Explainer. It is safe for concurrent use.
@@ -38,7 +38,7 @@
 	controller *policy.Controller
 	lastID     policy.CallID
 	verdicts   map[policy.CallID]chan policy.Verdict
-	refusals   *spell.Table[refusalCause]
+	refusals   *episode.Table[refusalCause]
 }
 
 // refusalCause identifies refusals by the customer of the calls and the limit that refused them.
@@ -51,9 +51,9 @@
 func New(c Config) *Admission {
 	return &Admission{
 		config:     c,
-		controller: policy.New(policy.Config{FixedLimit: c.Stated}),
+		controller: policy.New(policy.Config{FixedLimit: c.FixedLimit}),
 		verdicts:   map[policy.CallID]chan policy.Verdict{},
-		refusals:   spell.New[refusalCause](spell.Config{Gap: bindingGap, Most: maxBindings}),
+		refusals:   episode.New[refusalCause](episode.Config{Gap: bindingGap, MaxEntries: maxBindings}),
 	}
 }
 
@@ -100,8 +100,8 @@
 	return a.controller.CutOff(now)
 }
 
-// Resize implements figpier.Admission.
-func (a *Admission) Resize(slots int) {
+// SetSlots implements figpier.Admission.
+func (a *Admission) SetSlots(slots int) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -202,7 +202,7 @@
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refusals.Mark(now, refusalCause{customer: c.Customer(), kind: k})
+	a.refusals.Record(now, refusalCause{customer: c.Customer(), kind: k})
 }
 
 func (a *Admission) release(o figpier.Outcome) {
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -13,7 +13,7 @@
 
 // ServeCall implements figpier.CallServer. What is left of the retry budget, and the cut-offs, go back with the headers.
 func (s *Server) ServeCall(w http.ResponseWriter, r *http.Request, c *figpier.Call) {
-	defer web.Bound(w, c.Deadline().Sub(s.clock.Now()))()
+	defer web.SetRequestDeadline(w, c.Deadline().Sub(s.clock.Now()))()
 	w.Header().Set(figpier.HeaderRequestID, string(c.RequestID()))
 	run, err := s.runner.Begin(r.Context(), c)
 	if err != nil {
@@ -26,11 +26,11 @@
 	kind := figpier.OutcomeFailed
 	defer func() {
 		elapsed := s.clock.Now().Sub(began)
-		run.End(figpier.NewOutcome(kind, elapsed).WithBelow(live.Below()))
-		s.cutOffs.Learn(c, live.CutOff())
+		run.End(figpier.NewOutcome(kind, elapsed).WithDownstream(live.DownstreamTime()))
+		s.cutOffs.Record(c, live.CutOff())
 		s.counters.Observe("backend", elapsed)
 	}()
-	out, attempt := web.Outgoing(run.Context(), r, run.Address(), r.Body, r.ContentLength)
+	out, attempt := web.NewRelayRequest(run.Context(), r, run.Address(), r.Body, r.ContentLength)
 	out.Header.Set(figpier.HeaderCall, string(run.Handle()))
 	out.Header.Set(figpier.HeaderRequestID, string(c.RequestID()))
 	answer, err := s.roundTrip(out)
@@ -43,7 +43,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	kind = s.passNotRunMark(w, answer, c, live)
 	s.setResultHeaders(w, c, live.TakeBudget(c.Budget()), live.CutOff())
-	web.Overlap(w, r, attempt)
+	web.PrepareEarlyAnswer(w, r, attempt)
 	if err := writeAnswer(run.Context(), w, answer); err != nil {
 		kind = failureKind(attempt, run.Context())
 		// Abort the connection, so that a truncated answer is not taken for a complete one.
@@ -59,7 +59,7 @@
 		s.closeIdleAfterTimeout(out.Context())
 		return nil, err
 	}
-	if out.Method != http.MethodHead && !web.Framed(answer) {
+	if out.Method != http.MethodHead && !web.HasDetectableEnd(answer) {
 		_ = answer.Body.Close()
 		return nil, Error.New("the answer states neither a length nor chunks")
 	}
@@ -76,8 +76,8 @@
 
 // writeAnswer streams an answer. It stops when the request ends, even while blocked on a caller that does not read.
 func writeAnswer(ctx context.Context, w http.ResponseWriter, answer *http.Response) error {
-	defer web.AbortWith(ctx, w)()
-	return web.WriteAnswer(w, answer)
+	defer web.AbortWritesOnDone(ctx, w)()
+	return web.RelayResponse(w, answer)
 }
 
 // passNotRunMark passes on a backend server's "not run" mark, and returns the outcome. A request that has made exit calls
@@ -89,7 +89,7 @@
 	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusTooManyRequests {
 		return figpier.OutcomeDone
 	}
-	if l.SealExits() > 0 {
+	if l.RefuseExits() > 0 {
 		return figpier.OutcomeDone
 	}
 	w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
@@ -101,13 +101,13 @@
 
 // setResultHeaders sets the headers that tell the calling node how many extra attempts are left, this node's cut-off, and
 // the lowest cut-off of the nodes further down. A request that came from outside, at depth 0, gets none.
-func (s *Server) setResultHeaders(w http.ResponseWriter, c *figpier.Call, unused int, below figpier.Rank) {
+func (s *Server) setResultHeaders(w http.ResponseWriter, c *figpier.Call, unused int, downstream figpier.Rank) {
 	if c.Depth() == 0 {
 		return
 	}
 	w.Header().Set(figpier.HeaderBudget, strconv.Itoa(unused))
 	w.Header().Set(figpier.HeaderCutOff, formatRank(s.admission.CutOff()))
-	w.Header().Set(figpier.HeaderTreeCutOff, formatRank(min(below, s.cutOffs.CutOff(c))))
+	w.Header().Set(figpier.HeaderTreeCutOff, formatRank(min(downstream, s.cutOffs.CutOff(c))))
 }
 
 func formatRank(r figpier.Rank) string { return strconv.FormatUint(uint64(r), 10) }
@@ -136,7 +136,7 @@
 	unreached := kind == figpier.OutcomeUnreached
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalBackendFailed,
-		RanSomewhere: !unreached,
+		MayHaveRun:   !unreached,
 		ProvenNotRun: unreached,
 		Detail:       err.Error(),
 	}
--- a/internal/traffic/exit/handler.go
+++ b/internal/traffic/exit/handler.go
@@ -32,7 +32,7 @@
 	view      figpier.ConfigurationView
 	handles   figpier.Handles
 	router    figpier.Router
-	judge     figpier.RetryJudge
+	decider   figpier.RetryDecider
 	counters  figpier.Counters
 	log       figpier.RequestLog
 	transport *http.Transport
@@ -71,7 +71,7 @@
 	if h.router, err = figpier.FindRouter(d); err != nil {
 		return err
 	}
-	if h.judge, err = figpier.FindRetryJudge(d); err != nil {
+	if h.decider, err = figpier.FindRetryDecider(d); err != nil {
 		return err
 	}
 	if h.log, err = figpier.FindRequestLog(d); err != nil {
@@ -100,11 +100,11 @@
 		return
 	}
 	defer l.EndExit()
-	defer web.Bound(w, c.Deadline().Sub(h.clock.Now()))()
+	defer web.SetRequestDeadline(w, c.Deadline().Sub(h.clock.Now()))()
 	ctx, cancel := context.WithTimeout(r.Context(), c.Deadline().Sub(h.clock.Now()))
 	defer cancel()
 	defer context.AfterFunc(l.Context(), cancel)()
-	if err := h.view.Follow(ctx, c.Service()); err != nil {
+	if err := h.view.FollowMembers(ctx, c.Service()); err != nil {
 		h.refuse(w, c, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoUpstream, Detail: err.Error()}))
 		return
 	}
@@ -114,7 +114,7 @@
 // resolveCall returns the call that an exit request makes and the live call that it belongs to. The handle is empty unless
 // the live call was opened here; the caller of this method closes it, also after an error.
 func (h *Handler) resolveCall(r *http.Request) (c *figpier.Call, l figpier.LiveCall, ownHandle figpier.Handle, err error) {
-	if err := web.Check(r, figpier.HeaderCall); err != nil {
+	if err := web.CheckRequest(r, figpier.HeaderCall); err != nil {
 		return nil, nil, "", err
 	}
 	service := figpier.UpstreamService(strings.TrimSuffix(r.Host, figpier.ExitSuffix))
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -8,7 +8,7 @@
 
 	"github.com/figpier/figpier"
 	"github.com/figpier/figpier/internal/link/web"
-	"github.com/figpier/figpier/internal/policy/budget"
+	"github.com/figpier/figpier/internal/policy/retrybudget"
 )
 
 // Bounds on the connections to other nodes.
@@ -48,7 +48,7 @@
 	transport *http.Transport
 
 	mu          sync.Mutex // guards retries
-	retryBudget *budget.Table
+	retryBudget *retrybudget.Table
 }
 
 // New returns a forwarder, to be started by the kernel.
@@ -56,12 +56,12 @@
 	return &Forwarder{
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
-			DialTimeout:     dialTimeout,
-			Unanswered:      unackedTimeout,
-			IdleTimeout:     idleTimeout,
-			IdleConnections: maxIdleConnections,
+			DialTimeout:           dialTimeout,
+			UnacknowledgedTimeout: unackedTimeout,
+			IdleTimeout:           idleTimeout,
+			IdleConnections:       maxIdleConnections,
 		}),
-		retryBudget: budget.New(budget.Config{Share: c.RetryShare, Window: c.RetryWindow, Free: c.FreeRetries}),
+		retryBudget: retrybudget.New(retrybudget.Config{Share: c.RetryShare, Window: c.RetryWindow, MinRetries: c.FreeRetries}),
 	}
 }
 
@@ -111,8 +111,8 @@
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range c.Table().Services() {
-		// Follow posts the subscription before it waits; the cancelled context skips the wait.
-		_ = f.view.Follow(cancelled, s.Name())
+		// FollowMembers posts the subscription before it waits; the cancelled context skips the wait.
+		_ = f.view.FollowMembers(cancelled, s.Name())
 	}
 }
 
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	v.Subscribe(t.EndWithdrawn)
+	v.Subscribe(t.CancelWithdrawn)
 	s, err := figpier.FindStaleness(d)
 	if err != nil {
 		return err
@@ -79,14 +79,14 @@
 	delete(t.calls, h)
 	t.mu.Unlock()
 	if ok {
-		l.SealExits()
+		l.RefuseExits()
 		l.stopTimer()
 		l.cancelCause(context.Canceled)
 	}
 }
 
-// EndWithdrawn implements figpier.Handles.
-func (t *Table) EndWithdrawn(c *figpier.Configuration) {
+// CancelWithdrawn implements figpier.Handles.
+func (t *Table) CancelWithdrawn(c *figpier.Configuration) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
@@ -106,13 +106,13 @@
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
 		if l.call.Customer() != "" {
-			l.cancelCause(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RanSomewhere: true}))
+			l.cancelCause(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, MayHaveRun: true}))
 		}
 	}
 }
 
-// Live implements figpier.Handles.
-func (t *Table) Live() int {
+// Len implements figpier.Handles.
+func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.calls)
@@ -132,13 +132,14 @@
 	// exitCount is the number of exit calls so far, and openExits the number of those that have not ended.
 	exitCount int
 	openExits int
-	// openSince is when openExits last rose from 0, and exitTime the total of the earlier periods in which it was above 0.
-	openSince time.Time
-	exitTime  time.Duration
-	// exitsSealed means that no further exit call may begin.
-	exitsSealed bool
-	budget      retry.Budget
-	cutOff      figpier.Rank
+	// openSince is when openExits last rose from 0, and downstreamTime the total of the earlier periods in which it was
+	// above 0.
+	openSince      time.Time
+	downstreamTime time.Duration
+	// exitsRefused means that no further exit call may begin.
+	exitsRefused bool
+	budget       retry.Budget
+	cutOff       figpier.Rank
 }
 
 // Call implements figpier.LiveCall.
@@ -151,7 +152,7 @@
 func (l *liveCall) BeginExit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.exitsSealed {
+	if l.exitsRefused {
 		return false
 	}
 	l.exitCount++
@@ -168,25 +169,25 @@
 	defer l.mu.Unlock()
 	l.openExits--
 	if l.openExits == 0 {
-		l.exitTime += l.clock.Now().Sub(l.openSince)
+		l.downstreamTime += l.clock.Now().Sub(l.openSince)
 	}
 }
 
-// Below implements figpier.LiveCall.
-func (l *liveCall) Below() time.Duration {
+// DownstreamTime implements figpier.LiveCall.
+func (l *liveCall) DownstreamTime() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.openExits > 0 {
-		return l.exitTime + l.clock.Now().Sub(l.openSince)
+		return l.downstreamTime + l.clock.Now().Sub(l.openSince)
 	}
-	return l.exitTime
+	return l.downstreamTime
 }
 
-// SealExits implements figpier.LiveCall.
-func (l *liveCall) SealExits() int {
+// RefuseExits implements figpier.LiveCall.
+func (l *liveCall) RefuseExits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.exitsSealed = true
+	l.exitsRefused = true
 	return l.exitCount
 }
 
@@ -211,15 +212,15 @@
 	l.budget.Return(n)
 }
 
-// Unused implements figpier.LiveCall.
-func (l *liveCall) Unused() int {
+// UnusedBudget implements figpier.LiveCall.
+func (l *liveCall) UnusedBudget() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.Unused()
 }
 
-// NoteCutOff implements figpier.LiveCall.
-func (l *liveCall) NoteCutOff(cutOff figpier.Rank) {
+// RecordCutOff implements figpier.LiveCall.
+func (l *liveCall) RecordCutOff(cutOff figpier.Rank) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cutOff = min(l.cutOff, cutOff)
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// askTimeout bounds one request for tokens.
-	askTimeout = 500 * time.Millisecond
+	// answerTimeout bounds one request for tokens.
+	answerTimeout = 500 * time.Millisecond
 	// resendTime is how long a request for tokens may stay unanswered before another is sent.
 	resendTime = 60 * time.Millisecond
 	// retryPause is the pause after a failed request for tokens.
@@ -26,8 +26,8 @@
 type Config struct {
 	// Instance is the identifier of the node.
 	Instance figpier.InstanceID
-	// Patience is how long a request may wait for its token.
-	Patience time.Duration
+	// MaxWait is how long a request may wait for its token.
+	MaxWait time.Duration
 }
 
 // Limiter implements figpier.Limiter. It is safe for concurrent use.
@@ -103,11 +103,11 @@
 	s := &tokenSource{
 		limiter: l,
 		key:     k,
-		shard:   uint32(shard.OfLimit(k.customer, k.service)),
+		shard:   uint32(shard.ForLimit(k.customer, k.service)),
 		holder: bucket.NewHolder(bucket.HolderConfig{
-			ID:         l.id,
-			Patience:   l.config.Patience,
-			AskTimeout: resendTime,
+			ID:            l.id,
+			MaxWait:       l.config.MaxWait,
+			AnswerTimeout: resendTime,
 		}, now),
 		wake:  make(chan struct{}, 1),
 		users: 1,
--- a/internal/traffic/quota/limiter_test.go
+++ b/internal/traffic/quota/limiter_test.go
@@ -54,11 +54,11 @@
 func newFleet(rate float64) *fleet {
 	f := &fleet{now: time.Unix(1000, 0), limit: figpier.NewLimit(figpier.LimitConfig{Rate: rate, Burst: rate})}
 	f.configuration = configuration(f.limit)
-	f.pool = policy.New(policy.Config{Window: window, Overage: overage, Slack: slack, Opened: f.now})
+	f.pool = policy.New(policy.Config{Window: window, OverageFraction: overage, SlackRequests: slack, Start: f.now})
 	log, _ := test.NewNullLogger()
 	for range fleetNodes {
 		n := &node{fleet: f, reachesControl: func() bool { return true }}
-		n.Limiter = New(Config{Window: window, Overage: overage, Slack: slack, Log: logrus.NewEntry(log)})
+		n.Limiter = New(Config{Window: window, OverageFraction: overage, SlackRequests: slack, Log: logrus.NewEntry(log)})
 		n.clock, n.view, n.messenger = n, n, n
 		n.nodeTable = n.newTable(f.now)
 		f.nodes = append(f.nodes, n)
@@ -126,7 +126,7 @@
 func (n *node) AfterFunc(time.Duration, func()) (cancel func()) { return func() {} }
 func (n *node) Nodes() int                                      { return fleetNodes }
 func (n *node) Control() string                                 { return "control" }
-func (n *node) Polled() time.Time                               { return n.polled }
+func (n *node) LastPoll() time.Time                             { return n.polled }
 func (n *node) Name() figpier.ServiceName                       { return figpier.LimiterService }
 func (n *node) Start(context.Context, figpier.Directory) error  { return nil }
 func (n *node) Stop(context.Context) error                      { return nil }
@@ -140,13 +140,13 @@
 	return figpier.NewConfiguration(figpier.ConfigurationConfig{Table: table})
 }
 
-func (n *node) Ask(_ context.Context, _ string, _ figpier.Method, ask, answer any) error {
+func (n *node) Request(_ context.Context, _ string, _ figpier.Method, ask, answer any) error {
 	if !n.reachesControl() {
 		return context.DeadlineExceeded
 	}
 	f := n.fleet
 	share := f.pool.PoolShare(f.limit, f.countedNodes(), fleetNodes)
-	paid := f.pool.Pay(f.now, customer, f.limit, share, ask.(message.PoolAsk).Owed)
+	paid := f.pool.Settle(f.now, customer, f.limit, share, ask.(message.PoolAsk).Owed)
 	wait, granted := f.pool.Take(f.now, customer, f.limit, share)
 	*answer.(*message.PoolAnswer) = message.PoolAnswer{Granted: granted, WaitMillis: int(wait.Milliseconds()), Paid: paid}
 	return nil
--- a/internal/traffic/shards/host.go
+++ b/internal/traffic/shards/host.go
@@ -44,12 +44,12 @@
 	Controls []string
 	// TokenLease is how long leased tokens are valid.
 	TokenLease time.Duration
-	// ClockError is the greatest drift between two clocks during a lease.
-	ClockError time.Duration
+	// MaxClockDrift is the greatest drift between two clocks during a lease.
+	MaxClockDrift time.Duration
 	// Retention is how long a claim is kept.
 	Retention time.Duration
-	// RunTime is how long a claim may be running before its outcome counts as unknown.
-	RunTime time.Duration
+	// RunTimeout is how long a claim may be running before its outcome counts as unknown.
+	RunTimeout time.Duration
 }
 
 // Host is the service that holds a node's replicas of shards and handles the messages about them.
@@ -73,8 +73,8 @@
 // assignmentSet is the set of assignments that the last control lease covers; it is never changed once stored.
 type assignmentSet struct {
 	assignments []*shard.Assignment
-	// mark identifies the set, so that a lease for the same set need not list it again.
-	mark string
+	// digest identifies the set, so that a lease for the same set need not list it again.
+	digest string
 }
 
 // New returns a host without replicas. Its member name is unique to this process, also across restarts.
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -42,11 +42,11 @@
 		DataCentre: string(h.config.DataCentre),
 		Region:     string(h.config.Region),
 		Leaving:    h.leaving.Load(),
-		Mark:       assigned.mark,
+		Mark:       assigned.digest,
 		Reports:    h.followerReports(assigned, sent),
 	}
 	var l message.ShardLease
-	if err := h.messenger.Ask(ask, address, figpier.MethodShardRenew, m, &l); err != nil {
+	if err := h.messenger.Request(ask, address, figpier.MethodShardRenew, m, &l); err != nil {
 		return false
 	}
 	if l.Leading {
@@ -98,13 +98,13 @@
 	}
 }
 
-// newAssignmentSet decodes the assignments of a lease and computes their mark.
+// newAssignmentSet decodes the assignments of a lease and computes their digest.
 func newAssignmentSet(wire []message.ShardAssignment) *assignmentSet {
 	c := &assignmentSet{}
 	for _, w := range wire {
 		c.assignments = append(c.assignments, codec.ToShardAssignment(w))
 	}
-	c.mark = codec.ShardMark(c.assignments)
+	c.digest = codec.ShardAssignmentsDigest(c.assignments)
 	return c
 }
 
@@ -119,9 +119,9 @@
 	case shard.ChangeStartAfterLoss:
 		r.reset(now)
 	}
-	r.policy.Leased(a.Epoch(), until)
+	r.policy.ExtendLease(a.Epoch(), until)
 	if r.host.leaving.Load() {
-		r.policy.Release()
+		r.policy.ReleaseLease()
 	}
 	r.startSenders()
 	r.notifyWaiters()
@@ -131,6 +131,6 @@
 func (r *shardReplica) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.policy.Release()
+	r.policy.ReleaseLease()
 	r.notifyWaiters()
 }
--- a/internal/traffic/upstream/event.go
+++ b/internal/traffic/upstream/event.go
@@ -45,8 +45,8 @@
 // leaveRequested makes the node announce that it leaves.
 type leaveRequested struct{ event }
 
-// closeRequested makes the node refuse all new work; done is closed once that is published.
-type closeRequested struct {
+// refuseCallsRequested makes the node refuse all new work; done is closed once that is published.
+type refuseCallsRequested struct {
 	event
 	done chan struct{}
 }
@@ -66,7 +66,7 @@
 		u.onAnnouncementExpired(e)
 	case leaveRequested:
 		u.leaving = true
-	case closeRequested:
+	case refuseCallsRequested:
 		defer close(e.done)
 		u.closed = true
 	}
@@ -84,10 +84,10 @@
 		u.logEntry(a).Info("the backend server announced itself")
 		u.cancelNotice()
 		u.draining, u.drained = false, false
-		u.admission.Resize(0)
+		u.admission.SetSlots(0)
 	}
 	u.newest, u.known = a, true
-	u.admission.Resize(a.Slots())
+	u.admission.SetSlots(a.Slots())
 	u.scheduleExpiry(a)
 	if a.Draining() {
 		u.startDrain()
@@ -125,13 +125,13 @@
 	}
 	u.draining = true
 	u.logEntry(u.newest).Info("the backend server is draining")
-	u.cancelNotice = u.control.PostAfter(u.config.Notice, noticeOver{incarnation: u.newest.Incarnation()})
+	u.cancelNotice = u.control.PostAfter(u.config.DrainNotice, noticeOver{incarnation: u.newest.Incarnation()})
 }
 
 // scheduleExpiry starts the timer after which the announcement expires, in place of that of the previous one.
 func (u *Upstream) scheduleExpiry(a figpier.Announcement) {
 	u.cancelExpiry()
-	u.cancelExpiry = u.control.PostAfter(u.config.Silence, announcementExpired{sequence: a.Sequence()})
+	u.cancelExpiry = u.control.PostAfter(u.config.AnnouncementTimeout, announcementExpired{sequence: a.Sequence()})
 }
 
 // onAnnouncementExpired marks the backend server as unknown unless a newer announcement has come.
@@ -141,7 +141,7 @@
 	}
 	u.logEntry(u.newest).Warn("the backend server has stopped announcing itself")
 	u.known = false
-	u.admission.Resize(0)
+	u.admission.SetSlots(0)
 }
 
 // publish makes the state visible to traffic threads, and announces the node if its entry has changed.
--- a/internal/traffic/upstream/upstream.go
+++ b/internal/traffic/upstream/upstream.go
@@ -14,11 +14,11 @@
 type Config struct {
 	// Address is the IP address and port at which the backend server takes requests.
 	Address string
-	// Silence is the age at which an announcement expires unless a newer one has come.
-	Silence time.Duration
-	// Notice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
+	// AnnouncementTimeout is the age at which an announcement expires unless a newer one has come.
+	AnnouncementTimeout time.Duration
+	// DrainNotice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
 	// time to learn of it.
-	Notice time.Duration
+	DrainNotice time.Duration
 	// Member is the node's own entry in the members list; its slots, draining state and sequence are filled in here.
 	Member figpier.MemberConfig
 	// Log receives a line for each change of the backend server's state.
@@ -103,10 +103,10 @@
 // Leaving implements figpier.Backend.
 func (u *Upstream) Leaving() bool { return u.current.Load().leaving }
 
-// Close implements figpier.Backend; it returns once the control thread has published the change.
-func (u *Upstream) Close() {
+// RefuseCalls implements figpier.Backend; it returns once the control thread has published the change.
+func (u *Upstream) RefuseCalls() {
 	done := make(chan struct{})
-	if err := u.control.Post(closeRequested{done: done}); err == nil {
+	if err := u.control.Post(refuseCallsRequested{done: done}); err == nil {
 		<-done
 	}
 }
--- a/internal/wire/codec/configuration.go
+++ b/internal/wire/codec/configuration.go
@@ -149,9 +149,9 @@
 	return m
 }
 
-// FromCatalog returns the wire form of a configuration that control instances store, which includes the document of the
+// FromConfigurationWithDocument returns the wire form of a configuration that control instances store, which includes the document of the
 // routing table. The order is that of FromConfiguration.
-func FromCatalog(c *figpier.Configuration) message.Configuration {
+func FromConfigurationWithDocument(c *figpier.Configuration) message.Configuration {
 	m := fromConfigurationWithoutTable(c)
 	if t := c.Table(); t != nil {
 		w := FromTable(t)
@@ -234,9 +234,9 @@
 	for _, name := range d.GoneProfiles {
 		delete(next.Profiles, figpier.ProfileName(name))
 	}
-	gone := figpier.NewSet(d.GoneKeys...)
+	removed := figpier.NewSet(d.GoneKeys...)
 	for digest, k := range next.Keys {
-		if gone.Has(k.ID()) {
+		if removed.Has(k.ID()) {
 			delete(next.Keys, digest)
 		}
 	}
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -131,13 +131,13 @@
 
 // runNode polls the control instance as the i-th node does, until the context ends.
 func (r *rig) runNode(ctx context.Context, i int) {
-	n := &node{messenger: jsonrpc.New(jsonrpc.Config{AskTimeout: 10 * time.Second})}
+	n := &node{messenger: jsonrpc.New(jsonrpc.Config{AnswerTimeout: 10 * time.Second})}
 	_ = n.messenger.Start(ctx, noDirectory{})
 	n.poll = message.Poll{WaitMillis: 500, Services: r.followedServices(i), Member: r.member(i)}
 	first := true
 	for ctx.Err() == nil {
 		var a message.PollAnswer
-		if err := n.messenger.Ask(ctx, r.controlAddress, figpier.MethodPoll, n.poll, &a); err != nil {
+		if err := n.messenger.Request(ctx, r.controlAddress, figpier.MethodPoll, n.poll, &a); err != nil {
 			continue
 		}
 		if awaited := r.awaitedRevision.Load(); int64(n.poll.Revision) < awaited && int64(a.Revision) >= awaited {
--- a/test/path/harness_test.go
+++ b/test/path/harness_test.go
@@ -72,7 +72,7 @@
 		router:  &orderedRouter{view: v},
 		caller:  caller.New(caller.Config{Address: loopback}),
 		peer:    peer.New(peer.Config{Address: loopback, Service: service, PingAfter: time.Second}),
-		backend: backend.New(backend.Config{Address: loopback, Announcement: time.Hour, Notice: 50 * time.Millisecond}, exits),
+		backend: backend.New(backend.Config{Address: loopback, AnnouncementTimeout: time.Hour, DrainNotice: 50 * time.Millisecond}, exits),
 		slots:   16,
 	}
 	logger, err := logs.New(logs.Config{Output: io.Discard})
@@ -81,7 +81,7 @@
 	ready := make(startSignal)
 	for _, s := range []figpier.Service{
 		metrics.New(metrics.Config{}), logs.NewRequests(logger), v,
-		n.handles, ranks.New(), cutoffs.New(), fixed.NewLimiter(), fixed.NewClaims(), fixed.NewAdmission(16), n.router, fixed.NewJudge(),
+		n.handles, ranks.New(), cutoffs.New(), fixed.NewLimiter(), fixed.NewClaims(), fixed.NewAdmission(16), n.router, fixed.NewDecider(),
 		gate.New(gate.Config{Service: service}), runner.New(), exits, n.backend, n.peer, n.caller, ready,
 	} {
 		assert.NilError(t, k.Register(s))
