--- a/internal/command/controlrun/run.go
+++ b/internal/command/controlrun/run.go
@@ -38,7 +38,7 @@
 		return Error.New("%s has no \"control\" section: add one, or run \"figpier node run\" for a node", o.settings)
 	}
 	queue := logs.NewQueue(o.factory.Out())
-	defer queue.End()
+	defer queue.Flush()
 	l, err := process.NewLog(s, queue)
 	if err != nil {
 		return err
@@ -48,6 +48,6 @@
 		return err
 	}
 	return k.Run(o.factory.Context(), func() (context.Context, context.CancelFunc) {
-		return context.WithTimeout(context.Background(), process.Grace(s))
+		return context.WithTimeout(context.Background(), process.StopTimeout(s))
 	})
 }
--- a/internal/command/noderun/run.go
+++ b/internal/command/noderun/run.go
@@ -40,7 +40,7 @@
 		return Error.New("%s has neither a \"node\" nor a \"mesh\" section: add one, or run \"figpier control run\" for a control instance", o.settings)
 	}
 	queue := logs.NewQueue(o.factory.Out())
-	defer queue.End()
+	defer queue.Flush()
 	l, err := process.NewLog(s, queue)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 		return err
 	}
 	return k.Run(o.factory.Context(), func() (context.Context, context.CancelFunc) {
-		return context.WithTimeout(context.Background(), process.Grace(s))
+		return context.WithTimeout(context.Background(), process.StopTimeout(s))
 	})
 }
 
--- a/internal/host/logs/queue.go
+++ b/internal/host/logs/queue.go
@@ -11,7 +11,7 @@
 // maxQueuedLines is the capacity of a queue. At a few hundred bytes a line, a full queue takes little memory.
 const maxQueuedLines = 4096
 
-// flushTimeout is how long End waits for the output.
+// flushTimeout is how long Flush waits for the output.
 const flushTimeout = 200 * time.Millisecond
 
 // Queue is a writer that never blocks, for use by any goroutine. If the output can't keep up, it drops lines, counts them, and
@@ -49,8 +49,8 @@
 // Dropped returns the number of lines that were dropped since the last such count was written.
 func (q *Queue) Dropped() int64 { return q.dropped.Load() }
 
-// End waits until the lines queued so far have been written, at most flushTimeout. It is called at the end of a process.
-func (q *Queue) End() {
+// Flush waits until the lines queued so far have been written, at most flushTimeout. It is called at the end of a process.
+func (q *Queue) Flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	flushed := make(chan struct{})
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -59,11 +59,11 @@
 
 // NewNode returns the kernel of a node with the default policies, with its services registered in the order in which they start.
 func NewNode(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
-	return NewNodeWith(s, l, Adaptive(s))
+	return NewNodeWithPolicies(s, l, Adaptive(s))
 }
 
-// NewNodeWith returns the kernel of a node that runs with the given policies, such as the baselines of a benchmark.
-func NewNodeWith(s *settings.Settings, l *logrus.Entry, p PolicyConfig) (*registry.Kernel, error) {
+// NewNodeWithPolicies returns the kernel of a node that runs with the given policies, such as the baselines of a benchmark.
+func NewNodeWithPolicies(s *settings.Settings, l *logrus.Entry, p PolicyConfig) (*registry.Kernel, error) {
 	n := s.Node()
 	security, err := certificate.Load(s.TLS())
 	if err != nil {
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// Grace returns the longest time that a planned stop of the process may take. Where the settings name the time until the process
-// is killed, it ends graceMargin earlier.
-func Grace(s *settings.Settings) time.Duration {
+// StopTimeout returns the longest time that a planned stop of the process may take. Where the settings name the time until
+// the process is killed, it ends graceMargin earlier.
+func StopTimeout(s *settings.Settings) time.Duration {
 	if m := s.Mesh(); m != nil {
 		return m.Grace - graceMargin
 	}
--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -22,9 +22,9 @@
 	// idleTimeout is shorter than the common keep-alive timeouts of servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unackedTimeout is how long the backend server's host may leave data or a probe unacknowledged before the connection is
-	// closed.
-	unackedTimeout = time.Second
+	// unacknowledgedTimeout is how long the backend server's host may leave data or a probe unacknowledged before the
+	// connection is closed.
+	unacknowledgedTimeout = time.Second
 )
 
 // Config holds the settings of a Server.
@@ -72,7 +72,7 @@
 func newTransport() *http.Transport {
 	return web.NewTransport(web.TransportConfig{
 		DialTimeout:           dialTimeout,
-		UnacknowledgedTimeout: unackedTimeout,
+		UnacknowledgedTimeout: unacknowledgedTimeout,
 		IdleTimeout:           idleTimeout,
 		IdleConnections:       maxIdleConnections,
 	})
--- a/internal/traffic/configview/view.go
+++ b/internal/traffic/configview/view.go
@@ -71,7 +71,7 @@
 
 	mu          sync.Mutex
 	subscribers []func(*figpier.Configuration)
-	whenStale   []func()
+	onStale     []func()
 
 	state *state
 }
@@ -128,11 +128,11 @@
 	return v.published.Load().members[s]
 }
 
-// Control implements figpier.ConfigurationView.
-func (v *View) Control() string { return v.published.Load().control }
+// ControlAddress implements figpier.ConfigurationView.
+func (v *View) ControlAddress() string { return v.published.Load().control }
 
-// Nodes implements figpier.ConfigurationView.
-func (v *View) Nodes() int { return v.published.Load().nodes }
+// NodeCount implements figpier.ConfigurationView.
+func (v *View) NodeCount() int { return v.published.Load().nodes }
 
 // LastPoll implements figpier.ConfigurationView.
 func (v *View) LastPoll() time.Time { return v.published.Load().pollSentAt }
@@ -144,11 +144,11 @@
 	v.subscribers = append(v.subscribers, f)
 }
 
-// WhenStale implements figpier.Staleness.
-func (v *View) WhenStale(f func()) {
+// OnStale implements figpier.Staleness.
+func (v *View) OnStale(f func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.whenStale = append(v.whenStale, f)
+	v.onStale = append(v.onStale, f)
 }
 
 // Announce implements figpier.ConfigurationView.
@@ -415,13 +415,13 @@
 	v.state.stopTimer = v.control.PostAfter(due, staleTimerFired{confirmed: confirmed})
 }
 
-// handleStaleTimer calls the WhenStale callbacks unless the view was confirmed again after the timer was started.
+// handleStaleTimer calls the OnStale callbacks unless the view was confirmed again after the timer was started.
 func (v *View) handleStaleTimer(e staleTimerFired) {
 	if !e.confirmed.Equal(v.state.confirmed) {
 		return
 	}
 	v.mu.Lock()
-	callbacks := v.whenStale
+	callbacks := v.onStale
 	v.mu.Unlock()
 	for _, callback := range callbacks {
 		callback()
--- a/internal/traffic/configview/view_test.go
+++ b/internal/traffic/configview/view_test.go
@@ -85,15 +85,15 @@
 		done <- k.Run(ctx, func() (context.Context, context.CancelFunc) { return context.WithCancel(context.Background()) })
 	}()
 	// The view learns of the others from the seed, which it leaves for a nearer one once it fails or after nearerRetryInterval.
-	waitFor(t, func() bool { return v.Control() == "far" })
+	waitFor(t, func() bool { return v.ControlAddress() == "far" })
 	m.setAlive("far", false)
-	waitFor(t, func() bool { return v.Control() == "near" })
+	waitFor(t, func() bool { return v.ControlAddress() == "near" })
 
 	m.setAlive("near", false)
 	m.setAlive("beside", false)
 	m.setAlive("far", true)
 	lost := time.Now()
-	waitFor(t, func() bool { return v.Control() == "far" })
+	waitFor(t, func() bool { return v.ControlAddress() == "far" })
 	// Expected are one held poll and two immediate ones, with a pause in between; the bound is ten times the polls.
 	assert.Assert(t, time.Since(lost) < 10*(60+3*40)*time.Millisecond, "%v", time.Since(lost))
 	m.mu.Lock()
--- a/internal/traffic/delivery/server.go
+++ b/internal/traffic/delivery/server.go
@@ -18,9 +18,9 @@
 	// idleTimeout is shorter than the keep-alive timeouts of common servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unackedTimeout is how long the backend server's host, which is the node's own, may leave data unacknowledged before the
-	// connection is closed.
-	unackedTimeout = time.Second
+	// unacknowledgedTimeout is how long the backend server's host, which is the node's own, may leave data
+	// unacknowledged before the connection is closed.
+	unacknowledgedTimeout = time.Second
 )
 
 // Config holds the settings of a Server.
@@ -51,7 +51,7 @@
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
 			DialTimeout:           dialTimeout,
-			UnacknowledgedTimeout: unackedTimeout,
+			UnacknowledgedTimeout: unacknowledgedTimeout,
 			IdleTimeout:           idleTimeout,
 			IdleConnections:       maxIdleConnections,
 		}),
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -17,9 +17,9 @@
 	idleTimeout        = 30 * time.Second
 	// dialTimeout leaves time for many round trips between regions.
 	dialTimeout = 500 * time.Millisecond
-	// unackedTimeout is how long data or a probe may stay unacknowledged before the connection is closed; it leaves time for
-	// many round trips between regions.
-	unackedTimeout = time.Second
+	// unacknowledgedTimeout is how long data or a probe may stay unacknowledged before the connection is closed; it
+	// leaves time for many round trips between regions.
+	unacknowledgedTimeout = time.Second
 )
 
 // Config holds the settings of a Forwarder.
@@ -57,7 +57,7 @@
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
 			DialTimeout:           dialTimeout,
-			UnacknowledgedTimeout: unackedTimeout,
+			UnacknowledgedTimeout: unacknowledgedTimeout,
 			IdleTimeout:           idleTimeout,
 			IdleConnections:       maxIdleConnections,
 		}),
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	s.WhenStale(t.EndCallsWithKey)
+	s.OnStale(t.EndCallsWithKey)
 	return nil
 }
 
--- a/internal/traffic/quota/limiter.go
+++ b/internal/traffic/quota/limiter.go
@@ -145,7 +145,7 @@
 	m := message.PoolAsk{Customer: string(c), Owed: l.debt.Owed(c), Nodes: l.countNodes(l.clock.Now())}
 	l.mu.Unlock()
 	var a message.PoolAnswer
-	err := l.messenger.Request(askCtx, l.view.Control(), figpier.MethodPool, m, &a)
+	err := l.messenger.Request(askCtx, l.view.ControlAddress(), figpier.MethodPool, m, &a)
 	if err == nil && a.Paid > 0 {
 		l.mu.Lock()
 		l.debt.Repay(c, a.Paid)
@@ -164,7 +164,7 @@
 	if now.Sub(l.lastLogged) >= logInterval {
 		l.lastLogged = now
 		l.config.Log.WithError(cause).WithFields(logrus.Fields{
-			"control":  l.view.Control(),
+			"control":  l.view.ControlAddress(),
 			"polled":   sincePoll.String(),
 			"customer": string(c),
 			"alone":    sincePoll > poolLossTime,
@@ -182,7 +182,7 @@
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if control := l.view.Control(); control != l.idleControl {
+	if control := l.view.ControlAddress(); control != l.idleControl {
 		l.idleControl, l.idleSince = control, now
 	}
 	if now.Sub(l.idleSince) <= poolLossTime {
@@ -218,7 +218,7 @@
 		return
 	}
 	l.aloneTable = nil
-	l.config.Log.WithField("control", l.view.Control()).Info("the pool of customers' limits answers again")
+	l.config.Log.WithField("control", l.view.ControlAddress()).Info("the pool of customers' limits answers again")
 }
 
 // accountLimit returns the customer's limit, or false if the routing table has no account for it.
@@ -236,7 +236,7 @@
 
 // countNodes returns the number of nodes, which falls only after nodeCountHold. l.mu must be held.
 func (l *Limiter) countNodes(now time.Time) int {
-	n := l.view.Nodes()
+	n := l.view.NodeCount()
 	if n >= l.nodeCount {
 		l.nodeCount, l.nodeCountAt = n, now
 	}
--- a/internal/traffic/quota/limiter_test.go
+++ b/internal/traffic/quota/limiter_test.go
@@ -124,8 +124,8 @@
 
 func (n *node) Now() time.Time                                  { return n.fleet.now }
 func (n *node) AfterFunc(time.Duration, func()) (cancel func()) { return func() {} }
-func (n *node) Nodes() int                                      { return fleetNodes }
-func (n *node) Control() string                                 { return "control" }
+func (n *node) NodeCount() int                                  { return fleetNodes }
+func (n *node) ControlAddress() string                          { return "control" }
 func (n *node) LastPoll() time.Time                             { return n.polled }
 func (n *node) Name() figpier.ServiceName                       { return figpier.LimiterService }
 func (n *node) Start(context.Context, figpier.Directory) error  { return nil }
--- a/staleness.go
+++ b/staleness.go
@@ -3,8 +3,8 @@
 // Staleness notifies when a node's configuration is too old to continue requests with customer keys.
 type Staleness interface {
 	Service
-	// WhenStale registers a function that runs on the control thread each time the configuration becomes too old.
-	WhenStale(f func())
+	// OnStale registers a function that runs on the control thread each time the configuration becomes too old.
+	OnStale(f func())
 }
 
 // FindStaleness finds the service that detects stale configuration on a node.
--- a/test/path/connection_loss_test.go
+++ b/test/path/connection_loss_test.go
@@ -45,7 +45,7 @@
 	})
 	c := newClient(t, false)
 	assert.Equal(t, mustSend(t, c, a.request(http.MethodGet, "/x", nil)).text, "b")
-	link.Lose()
+	link.DropTraffic()
 	began := time.Now()
 	first := mustSend(t, c, a.request(http.MethodGet, "/x", nil))
 	assert.Check(t, time.Since(began) < quickRouteDeadline, "the answer came after the route's deadline")
@@ -75,7 +75,7 @@
 	c := newClient(t, false)
 	for range 2 {
 		assert.Equal(t, mustSend(t, c, a.request(http.MethodGet, "/x", nil)).text, "b")
-		link.Lose()
+		link.DropTraffic()
 	}
 }
 
@@ -100,7 +100,7 @@
 	for range connections {
 		assert.Equal(t, (<-warmUpReplies).text, "whole")
 	}
-	link.Lose()
+	link.DropTraffic()
 	timedOut := 0
 	for range connections {
 		p := mustSend(t, c, n.request(http.MethodGet, "/short/x", nil))
--- a/test/path/fakes_test.go
+++ b/test/path/fakes_test.go
@@ -83,11 +83,11 @@
 
 func (v *fakeView) FollowMembers(context.Context, figpier.UpstreamService) error { return nil }
 
-func (v *fakeView) Nodes() int { return 0 }
+func (v *fakeView) NodeCount() int { return 0 }
 
 func (v *fakeView) LastPoll() time.Time { return time.Time{} }
 
-func (v *fakeView) Control() string { return "" }
+func (v *fakeView) ControlAddress() string { return "" }
 
 func (v *fakeView) Members(s figpier.UpstreamService) []*figpier.Member {
 	v.mu.Lock()
@@ -107,7 +107,7 @@
 	v.subscribers = append(v.subscribers, f)
 }
 
-func (v *fakeView) WhenStale(f func()) {
+func (v *fakeView) OnStale(f func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.staleCallbacks = append(v.staleCallbacks, f)
--- a/test/relay/relay.go
+++ b/test/relay/relay.go
@@ -59,9 +59,9 @@
 // Accepted returns the number of connections forwarded so far.
 func (r *Relay) Accepted() int64 { return r.accepted.Load() }
 
-// Lose discards all further data of the open connections, which stay open; new ones work. It simulates a peer that
+// DropTraffic discards all further data of the open connections, which stay open; new ones work. It simulates a peer that
 // vanishes without closing its connections.
-func (r *Relay) Lose() {
+func (r *Relay) DropTraffic() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.connections {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Cut discards all further data of the open connections and of new ones, as a network partition does.
-func (r *Relay) Cut() {
+// DropAllTraffic discards all further data of the open connections and of new ones, as a network partition does.
+func (r *Relay) DropAllTraffic() {
 	r.dropNew.Store(true)
-	r.Lose()
+	r.DropTraffic()
 }
 
 func (r *Relay) close() {
--- a/test/surge/fleet.go
+++ b/test/surge/fleet.go
@@ -216,7 +216,7 @@
 		if err != nil {
 			return err
 		}
-		if n.kernel, err = process.NewNodeWith(s, f.log, f.policy.make(s)); err != nil {
+		if n.kernel, err = process.NewNodeWithPolicies(s, f.log, f.policy.make(s)); err != nil {
 			return err
 		}
 		f.run(n.kernel)
--- a/test/system/withdrawal_test.go
+++ b/test/system/withdrawal_test.go
@@ -114,7 +114,7 @@
 	url := "http://" + a.callerAddress() + "/stream"
 	eventually(t, "the node serves", func() bool { return serves(t, "http://"+a.callerAddress()+"/leaf", key) })
 	s := openStream(t, url, key)
-	link.Cut()
+	link.DropAllTraffic()
 	f.runOperatorCommand(control, "key", "withdraw", f.keyID(control))
 	s.assertEndsWithin(t, maxWithdrawalDelay)
 	status, _, header := call(t, http.MethodGet, url, key, nil)
@@ -134,7 +134,7 @@
 	eventually(t, "the node serves", func() bool { return serves(t, leaf, key) })
 	s := openStream(t, "http://"+a.callerAddress()+"/stream", key)
 	before := link.Accepted()
-	link.Lose()
+	link.DropTraffic()
 	s.assertLasts(t, maxWithdrawalDelay)
 	assert.Check(t, link.Accepted() > before, "the connection must be replaced")
 	assert.Check(t, serves(t, leaf, key))
--- a/traffic.go
+++ b/traffic.go
@@ -17,10 +17,11 @@
 	FollowMembers(ctx context.Context, s UpstreamService) error
 	// Members returns the known members of a service that FollowMembers has subscribed to.
 	Members(s UpstreamService) []*Member
-	// Nodes returns the number of nodes of all services, 0 until it is known.
-	Nodes() int
-	// Control returns the message address of the control instance that last answered a poll, empty before the first answer.
-	Control() string
+	// NodeCount returns the number of nodes of all services, 0 until it is known.
+	NodeCount() int
+	// ControlAddress returns the message address of the control instance that last answered a poll, empty before the first
+	// answer.
+	ControlAddress() string
 	// LastPoll returns the time at which the last answered poll was sent, zero before the first answer.
 	LastPoll() time.Time
 	// Subscribe registers a function that runs on the control thread after each installed configuration.
