--- a/configuration.go
+++ b/configuration.go
@@ -7,13 +7,13 @@
 
 // KeyConfig holds the arguments of NewKey.
 type KeyConfig struct {
-	// ID is the key's public identifier, which operators use to withdraw it.
+	// ID is the key ID, which operators use to withdraw the key.
 	ID string
 	// Customer is the owner of the key.
 	Customer CustomerID
 	// Digest is the digest of the secret that callers send.
 	Digest KeyDigest
-	// Revision is the configuration revision that added the key.
+	// Revision is the configuration revision that gave the key to its customer.
 	Revision Revision
 }
 
@@ -25,7 +25,7 @@
 // NewKey returns an immutable key.
 func NewKey(c KeyConfig) *Key { return &Key{config: c} }
 
-// ID returns the key's public identifier.
+// ID returns the key ID, which operators use to withdraw the key.
 func (k *Key) ID() string { return k.config.ID }
 
 // Customer returns the owner of the key.
@@ -34,7 +34,7 @@
 // Digest returns the digest of the secret that callers send.
 func (k *Key) Digest() KeyDigest { return k.config.Digest }
 
-// Revision returns the configuration revision that added the key.
+// Revision returns the configuration revision that gave the key to its customer.
 func (k *Key) Revision() Revision { return k.config.Revision }
 
 // AssignmentConfig holds the arguments of NewAssignment.
--- a/control.go
+++ b/control.go
@@ -11,7 +11,7 @@
 	Operation OperationID
 	// Revision is the configuration revision that the edit created.
 	Revision Revision
-	// KeyID is the identifier of the key that was given or withdrawn, empty for other edits.
+	// KeyID is the key ID of the key that was given or withdrawn, empty for other edits.
 	KeyID string
 }
 
@@ -29,7 +29,7 @@
 // Revision returns the configuration revision that the edit created.
 func (r *Receipt) Revision() Revision { return r.config.Revision }
 
-// KeyID returns the identifier of the key that was given or withdrawn, empty for other edits.
+// KeyID returns the key ID of the key that was given or withdrawn, empty for other edits.
 func (r *Receipt) KeyID() string { return r.config.KeyID }
 
 // Catalog holds the accepted configuration of a control instance.
--- a/edit.go
+++ b/edit.go
@@ -17,7 +17,7 @@
 
 // EditConfig holds the arguments of NewEdit.
 type EditConfig struct {
-	// Operation identifies the edit. A resend carries the same ID, so that the edit is applied once.
+	// Operation is the operation ID of the edit. A resend carries the same ID, so that the edit is applied once.
 	Operation OperationID
 	// Kind selects the change and the fields that are used.
 	Kind EditKind
@@ -31,7 +31,7 @@
 	Service UpstreamService
 	// Key is the key of an EditGiveKey.
 	Key *Key
-	// KeyID is the identifier of the key of an EditWithdrawKey.
+	// KeyID is the key ID of an EditGiveKey or EditWithdrawKey.
 	KeyID string
 	// Table is the routing table of an EditReplaceTable.
 	Table *Table
@@ -45,7 +45,7 @@
 // NewEdit returns an immutable edit.
 func NewEdit(c EditConfig) *Edit { return &Edit{config: c} }
 
-// Operation returns the identifier of the edit, which a resend repeats.
+// Operation returns the operation ID of the edit, which a resend repeats.
 func (e *Edit) Operation() OperationID { return e.config.Operation }
 
 // Kind returns the type of change.
@@ -66,7 +66,7 @@
 // Key returns the key of an EditGiveKey.
 func (e *Edit) Key() *Key { return e.config.Key }
 
-// KeyID returns the identifier of the key of an EditWithdrawKey.
+// KeyID returns the key ID of an EditGiveKey or EditWithdrawKey.
 func (e *Edit) KeyID() string { return e.config.KeyID }
 
 // Table returns the routing table of an EditReplaceTable.
--- a/internal/control/catalog/answer.go
+++ b/internal/control/catalog/answer.go
@@ -28,7 +28,8 @@
 	err         error
 }
 
-// fingerprintOf returns a text that is the same for an edit and its resends. It leaves out what a resend may change: the base revision, and the id and secret of a new key.
+// fingerprintOf returns a text that is the same for an edit and its resends. It leaves out what a resend may change: the
+// base revision, and the key ID and secret of a new key.
 func fingerprintOf(e *figpier.Edit) string {
 	switch e.Kind() {
 	case figpier.EditApplyProfile:
@@ -50,7 +51,7 @@
 	return xxh3.Hash(text)
 }
 
-// replay answers a resend, or returns an InvalidEditError for a different edit under the same operation id.
+// replay answers a resend, or returns an InvalidEditError for a different edit under the same operation ID.
 func (a *recordedAnswer) replay(fingerprint string) (*figpier.Receipt, error) {
 	if a.fingerprint != fingerprint {
 		return nil, figpier.NewInvalidEditError(fmt.Sprintf("operation id %q was used for another edit: take a new one", a.operation))
--- a/internal/control/catalog/state.go
+++ b/internal/control/catalog/state.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// applyEdit changes next as an edit asks, and returns the id of the key that the edit concerns, if any. On an error next is to be discarded.
+// applyEdit changes next as an edit asks, and returns the key ID of the key that the edit concerns, if any. On an error the
+// caller must discard next.
 func applyEdit(next *figpier.ConfigurationConfig, e *figpier.Edit) (keyID string, err error) {
 	switch e.Kind() {
 	case figpier.EditApplyProfile:
--- a/internal/control/disk/disk.go
+++ b/internal/control/disk/disk.go
@@ -106,7 +106,7 @@
 	return replaceFile(d.path(identityFile), identity)
 }
 
-// Member returns the id of the member that the folder belongs to.
+// Member returns the ID of the member that the folder belongs to.
 func (d *Disk) Member() raft.MemberID {
 	return raft.NewMemberID(d.config.Instance, d.config.Incarnation)
 }
--- a/internal/control/operator/editor.go
+++ b/internal/control/operator/editor.go
@@ -29,7 +29,7 @@
 
 // editParams holds the parameters that every edit has.
 type editParams struct {
-	// operation identifies the edit, so that a resend is not carried out twice.
+	// operation is the operation ID of the edit, so that a resend is not carried out twice.
 	operation figpier.OperationID
 	// base is the revision of the object that the operator saw, 0 to create it; edits of keys don't use it.
 	base figpier.Revision
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// finishProposal removes a proposal and answers its proposer; it ignores an id that is not pending here.
+// finishProposal removes a proposal and answers its proposer; it ignores an ID that is not pending here.
 func (l *Log) finishProposal(id string, answer any, err error) {
 	p, ok := l.proposals[id]
 	if !ok {
--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -17,7 +17,7 @@
 
 // Bounds on the connections to the backend server.
 const (
-	// maxIdleConnections is the number of idle connections kept.
+	// maxIdleConnections bounds the idle connections kept; one that becomes idle beyond it is closed.
 	maxIdleConnections = 512
 	// idleTimeout is shorter than the common keep-alive timeouts of servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
--- a/internal/traffic/delivery/server.go
+++ b/internal/traffic/delivery/server.go
@@ -13,7 +13,7 @@
 
 // Bounds on the connections to the backend server.
 const (
-	// maxIdleConnections is the number of idle connections kept, more than a backend server has slots.
+	// maxIdleConnections bounds the idle connections kept; one that becomes idle beyond it is closed.
 	maxIdleConnections = 512
 	// idleTimeout is shorter than the keep-alive timeouts of common servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
--- a/member.go
+++ b/member.go
@@ -18,7 +18,7 @@
 	Slots int
 	// Draining is set when the member accepts no new calls.
 	Draining bool
-	// Sequence orders the announcements of one instance.
+	// Sequence orders the announcements of one node.
 	Sequence uint64
 }
 
@@ -57,7 +57,7 @@
 // Draining reports whether the member accepts no new calls.
 func (m *Member) Draining() bool { return m.config.Draining }
 
-// Sequence returns the number that orders the announcements of one instance.
+// Sequence returns the number that orders the announcements of one node.
 func (m *Member) Sequence() uint64 { return m.config.Sequence }
 
 // MemberDeltaConfig holds the arguments of NewMemberDelta.
--- a/test/surge/fleet.go
+++ b/test/surge/fleet.go
@@ -186,7 +186,7 @@
 }
 
 // submit submits an edit until it is accepted, for up to ten seconds: the control instance can't accept edits right after
-// its start. The operation id makes repeats safe.
+// its start. The operation ID makes repeats safe.
 func (f *fleet) submit(catalog figpier.Catalog, e *figpier.Edit) error {
 	ctx, cancel := context.WithTimeout(f.ctx, 10*time.Second)
 	defer cancel()
