--- a/internal/command/demo/run.go
+++ b/internal/command/demo/run.go
@@ -38,7 +38,7 @@
 	c.Action(f.Action(o.run))
 }
 
-// run runs the fleet in the background until the scenario is done or, without --once, until the process is told to stop.
+// run runs the fleet in the background until the scenario is done or, without --once, until the process is asked to stop.
 // It also stops when a part of the fleet fails, and returns that error.
 func (o *options) run() error {
 	folder, err := os.MkdirTemp("", "figpier-demo-")
--- a/internal/command/factory/factory.go
+++ b/internal/command/factory/factory.go
@@ -10,7 +10,7 @@
 
 // Config holds the arguments of New.
 type Config struct {
-	// Context is cancelled when the process is told to stop.
+	// Context is cancelled when the process is asked to stop.
 	Context context.Context
 	// In is standard input, which a command reads for the file argument "-".
 	In io.Reader
@@ -35,7 +35,7 @@
 	return New(Config{Context: ctx, In: os.Stdin, Out: os.Stdout, Err: os.Stderr})
 }
 
-// Context returns the context that is cancelled when the process is told to stop.
+// Context returns the context that is cancelled when the process is asked to stop.
 func (f *Factory) Context() context.Context { return f.config.Context }
 
 // In returns standard input, which a command reads for the file argument "-".
--- a/internal/link/web/relay.go
+++ b/internal/link/web/relay.go
@@ -108,7 +108,7 @@
 	return allowed
 }
 
-// HasDetectableEnd reports whether an answer is final and its end can be told from a broken connection.
+// HasDetectableEnd reports whether an answer is final and its end can be distinguished from a broken connection.
 func HasDetectableEnd(answer *http.Response) bool {
 	if answer.StatusCode < minFinalStatus {
 		return false
--- a/internal/policy/raft/election.go
+++ b/internal/policy/raft/election.go
@@ -87,13 +87,13 @@
 	}
 }
 
-// hasActiveLeader reports whether the member leads or has heard from its leader within the election timeout. Such a
-// member ignores vote requests that are not forced.
+// hasActiveLeader reports whether the member leads or has received a message from its leader within the election
+// timeout. Such a member ignores vote requests that are not forced.
 func (m *Machine) hasActiveLeader(now time.Time) bool {
 	if m.role == leader {
 		return true
 	}
-	return m.leader != "" && now.Sub(m.leaderHeardAt) < m.config.ElectionTimeout
+	return m.leader != "" && now.Sub(m.lastLeaderMessageAt) < m.config.ElectionTimeout
 }
 
 // onVoteRequest answers a vote request or a pre-vote. The vote goes to a candidate whose log is at least as up to date as
--- a/internal/policy/raft/follower.go
+++ b/internal/policy/raft/follower.go
@@ -14,7 +14,7 @@
 	}
 	m.adoptCluster(c)
 	m.leader = c.From
-	m.leaderHeardAt = now
+	m.lastLeaderMessageAt = now
 	m.resetElectionDeadline(now)
 	return true
 }
--- a/internal/policy/raft/machine.go
+++ b/internal/policy/raft/machine.go
@@ -68,8 +68,8 @@
 	durableIndex uint64
 	// leader is the leader of the current term, empty if unknown.
 	leader MemberID
-	// leaderHeardAt is when the last message from the leader arrived.
-	leaderHeardAt time.Time
+	// lastLeaderMessageAt is when the last message from the leader arrived.
+	lastLeaderMessageAt time.Time
 	// electionDeadline is when a member that does not lead starts an election.
 	electionDeadline time.Time
 	// nextHeartbeat is when a leader sends heartbeats next.
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -52,7 +52,7 @@
 }
 
 // roundTrip sends a request and returns its answer. It refuses an answer with neither a length nor chunks, as the end of
-// such an answer can't be told from a broken connection.
+// such an answer can't be distinguished from a broken connection.
 func (s *Server) roundTrip(out *http.Request) (*http.Response, error) {
 	answer, err := s.transport.RoundTrip(out)
 	if err != nil {
@@ -81,7 +81,7 @@
 }
 
 // passNotRunMark passes on a backend server's "not run" mark, and returns the outcome. A request that has made exit calls
-// has run in part, so its mark is not believed; from then on it may make no exit calls.
+// has run in part, so its mark is ignored; from then on it may make no exit calls.
 func (s *Server) passNotRunMark(w http.ResponseWriter, answer *http.Response, c *figpier.Call, l figpier.LiveCall) figpier.OutcomeKind {
 	if answer.Header.Get(figpier.HeaderNotRun) != figpier.NotRunMark {
 		return figpier.OutcomeDone
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -108,8 +108,8 @@
 	return c
 }
 
-// applyLease applies an assignment and the control lease for it. It empties the state if the assignment starts the shard
-// anew.
+// applyLease applies an assignment and the control lease for it. It empties the state if the shard starts for the
+// first time or after the loss of its state.
 func (r *shardReplica) applyLease(a *shard.Assignment, until, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
