--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -17,14 +17,14 @@
 
 // Bounds on the connections to the backend server.
 const (
-	// maxIdleConnections is the number of idle connections kept.
+	// maxIdleConnections bounds the idle connections kept; one that becomes idle beyond it is closed.
 	maxIdleConnections = 512
 	// idleTimeout is shorter than the common keep-alive timeouts of servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unackedTimeout is how long the backend server's host may leave data or a probe unacknowledged before the connection is
-	// closed.
-	unackedTimeout = time.Second
+	// unacknowledgedTimeout is how long the backend server's host may leave data or a probe unacknowledged before the
+	// connection is closed.
+	unacknowledgedTimeout = time.Second
 )
 
 // Config holds the settings of a Server.
@@ -72,7 +72,7 @@
 func newTransport() *http.Transport {
 	return web.NewTransport(web.TransportConfig{
 		DialTimeout:           dialTimeout,
-		UnacknowledgedTimeout: unackedTimeout,
+		UnacknowledgedTimeout: unacknowledgedTimeout,
 		IdleTimeout:           idleTimeout,
 		IdleConnections:       maxIdleConnections,
 	})
--- a/internal/traffic/delivery/server.go
+++ b/internal/traffic/delivery/server.go
@@ -13,14 +13,14 @@
 
 // Bounds on the connections to the backend server.
 const (
-	// maxIdleConnections is the number of idle connections kept, more than a backend server has slots.
+	// maxIdleConnections bounds the idle connections kept; one that becomes idle beyond it is closed.
 	maxIdleConnections = 512
 	// idleTimeout is shorter than the keep-alive timeouts of common servers, so that the node closes first.
 	idleTimeout = 4 * time.Second
 	dialTimeout = time.Second
-	// unackedTimeout is how long the backend server's host, which is the node's own, may leave data unacknowledged before the
-	// connection is closed.
-	unackedTimeout = time.Second
+	// unacknowledgedTimeout is how long the backend server's host, which is the node's own, may leave data
+	// unacknowledged before the connection is closed.
+	unacknowledgedTimeout = time.Second
 )
 
 // Config holds the settings of a Server.
@@ -51,7 +51,7 @@
 		config: c,
 		transport: web.NewTransport(web.TransportConfig{
 			DialTimeout:           dialTimeout,
-			UnacknowledgedTimeout: unackedTimeout,
+			UnacknowledgedTimeout: unacknowledgedTimeout,
 			IdleTimeout:           idleTimeout,
 			IdleConnections:       maxIdleConnections,
 		}),
--- a/test/surge/fleet.go
+++ b/test/surge/fleet.go
@@ -186,7 +186,7 @@
 }
 
 // submit submits an edit until it is accepted, for up to ten seconds: the control instance can't accept edits right after
-// its start. The operation id makes repeats safe.
+// its start. The operation ID makes repeats safe.
 func (f *fleet) submit(catalog figpier.Catalog, e *figpier.Edit) error {
 	ctx, cancel := context.WithTimeout(f.ctx, 10*time.Second)
 	defer cancel()
@@ -216,7 +216,7 @@
 		if err != nil {
 			return err
 		}
-		if n.kernel, err = process.NewNodeWith(s, f.log, f.policy.make(s)); err != nil {
+		if n.kernel, err = process.NewNodeWithPolicies(s, f.log, f.policy.make(s)); err != nil {
 			return err
 		}
 		f.run(n.kernel)
