--- a/cmd/figpier/doc.go
+++ b/cmd/figpier/doc.go
@@ -1,2 +1,3 @@
-// Command figpier is an overload control layer for service call graphs.
+// Command figpier runs the nodes and control instances of an overload control layer for service call graphs,
+// and the commands that operate it.
 package main
--- a/internal/command/assignmentlist/doc.go
+++ b/internal/command/assignmentlist/doc.go
@@ -1,2 +1,2 @@
-// Package assignmentlist is the command "figpier assignment list".
+// Package assignmentlist implements the command "figpier assignment list".
 package assignmentlist
--- a/internal/command/controlrun/doc.go
+++ b/internal/command/controlrun/doc.go
@@ -1,2 +1,2 @@
-// Package controlrun is the command "figpier control run".
+// Package controlrun implements the command "figpier control run".
 package controlrun
--- a/internal/command/controlrun/run.go
+++ b/internal/command/controlrun/run.go
@@ -12,19 +12,19 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// Error is the class of failures of the command.
+// Error is the class of errors in how the command is used.
 var Error = errs.Class("control run")
 
-// options are the flags of the command.
+// options holds the dependencies and the flags of the command.
 type options struct {
 	factory  *factory.Factory
 	settings string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier control".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("run", "Run a control instance until SIGTERM or SIGINT.")
+	c := parent.Command("run", "Run a control instance until SIGTERM or SIGINT.")
 	c.Flag("settings", "Settings file, JSON with comments.").Short('s').Envar(settings.PathVariable).Required().StringVar(&o.settings)
 	c.Action(f.Action(func() error { return run(o) }))
 }
@@ -35,7 +35,7 @@
 		return err
 	}
 	if s.Control() == nil {
-		return Error.New("%s has no section \"control\": add one, or run another command", o.settings)
+		return Error.New("%s has no \"control\" section: add one, or run \"figpier node run\" for a node", o.settings)
 	}
 	queue := logs.NewQueue(o.factory.Out())
 	defer queue.End()
--- a/internal/command/demo/run.go
+++ b/internal/command/demo/run.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/zeebo/errs"
 
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
@@ -99,7 +99,7 @@
   curl -s http://%s/metrics | grep figpier_
 
 The settings files are in %s.`,
-		operators.EnvAddress, j.fleet.operators, operators.EnvToken, j.fleet.token,
+		apiflags.EnvAddress, j.fleet.operators, apiflags.EnvToken, j.fleet.token,
 		j.key, j.fleet.callers, sampleDay, j.fleet.callers, sampleDay,
 		profileName, j.keyID, j.fleet.metrics, j.fleet.folder)
 }
--- a/internal/command/factory/doc.go
+++ b/internal/command/factory/doc.go
@@ -1,2 +1,2 @@
-// Package factory gives the commands what they depend on.
+// Package factory provides the dependencies of the commands: the context and the standard streams.
 package factory
--- a/internal/command/factory/factory.go
+++ b/internal/command/factory/factory.go
@@ -8,45 +8,46 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Config builds a Factory.
+// Config holds the arguments of New.
 type Config struct {
-	// Context ends when the process is told to stop.
+	// Context is cancelled when the process is told to stop.
 	Context context.Context
-	// In gives the file that a command reads under the name "-".
+	// In is standard input, which a command reads for the file argument "-".
 	In io.Reader
-	// Out receives data.
+	// Out is standard output and receives the results of commands.
 	Out io.Writer
-	// Err receives messages to the user.
+	// Err is standard error and receives messages to the user.
 	Err io.Writer
 }
 
-// Factory gives the commands their dependencies.
+// Factory provides the dependencies of the commands of one run of the program.
 type Factory struct {
 	config Config
-	help   bool
+	// helpShown records that the user asked for help, after which no action runs.
+	helpShown bool
 }
 
-// New returns a factory.
+// New returns a factory with the given context and streams.
 func New(c Config) *Factory { return &Factory{config: c} }
 
-// System returns a factory for the process's own streams.
+// System returns a factory with the standard streams of the process.
 func System(ctx context.Context) *Factory {
 	return New(Config{Context: ctx, In: os.Stdin, Out: os.Stdout, Err: os.Stderr})
 }
 
-// Context ends when the process is told to stop.
+// Context returns the context that is cancelled when the process is told to stop.
 func (f *Factory) Context() context.Context { return f.config.Context }
 
-// In gives the file that a command reads under the name "-".
+// In returns standard input, which a command reads for the file argument "-".
 func (f *Factory) In() io.Reader { return f.config.In }
 
-// Out receives data.
+// Out returns standard output, the writer for the results of commands.
 func (f *Factory) Out() io.Writer { return f.config.Out }
 
-// Err receives messages to the user.
+// Err returns standard error, the writer for messages to the user.
 func (f *Factory) Err() io.Writer { return f.config.Err }
 
-// RunError is the failure of a command that was called correctly.
+// RunError wraps an error that a command returned while it ran, as opposed to an error in its flags or arguments.
 type RunError struct {
 	cause error
 }
@@ -54,13 +55,14 @@
 // Error implements error.
 func (e *RunError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the command.
 func (e *RunError) Unwrap() error { return e.cause }
 
-// Action returns a command's action, which fails with a *RunError and does nothing once help was shown.
+// Action returns run as a kingpin action that wraps errors in *RunError.
+// The action does nothing if help was shown, as kingpin then still runs the actions of the command.
 func (f *Factory) Action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
-		if f.help {
+		if f.helpShown {
 			return nil
 		}
 		if err := run(); err != nil {
@@ -70,8 +72,8 @@
 	}
 }
 
-// ShowedHelp notes that the user asked for help in place of a run.
-func (f *Factory) ShowedHelp() { f.help = true }
+// MarkHelpShown records that help was shown, so that no action runs.
+func (f *Factory) MarkHelpShown() { f.helpShown = true }
 
-// HelpShown reports whether the user asked for help in place of a run.
-func (f *Factory) HelpShown() bool { return f.help }
+// HelpShown reports whether help was shown instead of running a command.
+func (f *Factory) HelpShown() bool { return f.helpShown }
--- a/internal/command/keygive/doc.go
+++ b/internal/command/keygive/doc.go
@@ -1,2 +1,2 @@
-// Package keygive is the command "figpier key give".
+// Package keygive implements the command "figpier key give".
 package keygive
--- a/internal/command/keygive/run.go
+++ b/internal/command/keygive/run.go
@@ -4,28 +4,28 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory  *factory.Factory
-	api      *operators.Options
-	edit     *operators.EditOptions
+	api      *apiflags.Options
+	edit     *apiflags.EditOptions
 	customer string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier key".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("give", "Give a customer a key, which is shown once.")
+	c := parent.Command("give", "Give a customer a key; its secret is shown only once.")
 	c.HelpLong(`  figpier key give valv
   figpier key give valv --json`)
 	c.Arg("customer", "Name of the customer.").Required().StringVar(&o.customer)
-	o.api = operators.Flags(c)
-	o.edit = operators.EditFlags(c)
+	o.api = apiflags.Add(c)
+	o.edit = apiflags.AddEdit(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	edit, err := o.edit.Edit(nil)
+	edit, err := o.edit.Config(nil)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 		return err
 	}
 	if receipt.Secret == nil {
-		if err := o.explainResend(*receipt.Key); err != nil {
+		if err := o.printResendNotice(*receipt.Key); err != nil {
 			return err
 		}
 	}
@@ -56,7 +56,8 @@
 	return print.Line(o.factory.Out(), "%s", *receipt.Secret)
 }
 
-func (o *options) explainResend(id string) error {
-	return print.Line(o.factory.Err(), "the key %s was given by an earlier answer, which alone showed it; "+
+// printResendNotice explains why the answer to a resent edit has no secret and how to replace the key.
+func (o *options) printResendNotice(id string) error {
+	return print.Line(o.factory.Err(), "the secret of key %s was shown only in the answer to the first request; "+
 		"if that answer was lost, run \"figpier key withdraw %s\" and give another key", id, id)
 }
--- a/internal/command/keylist/doc.go
+++ b/internal/command/keylist/doc.go
@@ -1,2 +1,2 @@
-// Package keylist is the command "figpier key list".
+// Package keylist implements the command "figpier key list".
 package keylist
--- a/internal/command/keywithdraw/doc.go
+++ b/internal/command/keywithdraw/doc.go
@@ -1,2 +1,2 @@
-// Package keywithdraw is the command "figpier key withdraw".
+// Package keywithdraw implements the command "figpier key withdraw".
 package keywithdraw
--- a/internal/command/keywithdraw/run.go
+++ b/internal/command/keywithdraw/run.go
@@ -4,28 +4,28 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
-	edit    *operators.EditOptions
+	api     *apiflags.Options
+	edit    *apiflags.EditOptions
 	id      string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier key".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("withdraw", "Withdraw a customer key, also from callers that are connected.")
+	c := parent.Command("withdraw", "Withdraw a customer key, including for callers that are connected.")
 	c.HelpLong(`  figpier key list
   figpier key withdraw a31f8c8c6c781d92`)
-	c.Arg("id", "Public name of the key, as listed.").Required().StringVar(&o.id)
-	o.api = operators.Flags(c)
-	o.edit = operators.EditFlags(c)
+	c.Arg("id", "ID of the key, as \"figpier key list\" shows it.").Required().StringVar(&o.id)
+	o.api = apiflags.Add(c)
+	o.edit = apiflags.AddEdit(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	edit, err := o.edit.Edit(nil)
+	edit, err := o.edit.Config(nil)
 	if err != nil {
 		return err
 	}
--- a/internal/command/noderun/doc.go
+++ b/internal/command/noderun/doc.go
@@ -1,2 +1,2 @@
-// Package noderun is the command "figpier node run".
+// Package noderun implements the command "figpier node run".
 package noderun
--- a/internal/command/noderun/run.go
+++ b/internal/command/noderun/run.go
@@ -14,19 +14,19 @@
 	"github.com/figpier/figpier/internal/kernel/registry"
 )
 
-// Error is the class of failures of the command.
+// Error is the class of errors in how the command is used.
 var Error = errs.Class("node run")
 
-// options are the flags of the command.
+// options holds the dependencies and the flags of the command.
 type options struct {
 	factory  *factory.Factory
 	settings string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier node".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("run", "Run a node until SIGTERM or SIGINT.")
+	c := parent.Command("run", "Run a node until SIGTERM or SIGINT.")
 	c.Flag("settings", "Settings file, JSON with comments.").Short('s').Envar(settings.PathVariable).Required().StringVar(&o.settings)
 	c.Action(f.Action(func() error { return run(o) }))
 }
@@ -37,7 +37,7 @@
 		return err
 	}
 	if s.Node() == nil && s.Mesh() == nil {
-		return Error.New("%s has neither a section \"node\" nor a section \"mesh\": add one, or run another command", o.settings)
+		return Error.New("%s has neither a \"node\" nor a \"mesh\" section: add one, or run \"figpier control run\" for a control instance", o.settings)
 	}
 	queue := logs.NewQueue(o.factory.Out())
 	defer queue.End()
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	k, err := assemble(s, l)
+	k, err := newKernel(s, l)
 	if err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	})
 }
 
-// assemble returns the kernel of the kind of node that the settings describe.
-func assemble(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
+// newKernel builds a mesh node if the settings have a "mesh" section, and a node beside one backend server otherwise.
+func newKernel(s *settings.Settings, l *logrus.Entry) (*registry.Kernel, error) {
 	if s.Mesh() != nil {
 		return process.NewMeshNode(s, l)
 	}
--- a/internal/command/nodeview/doc.go
+++ b/internal/command/nodeview/doc.go
@@ -1,2 +1,2 @@
-// Package nodeview is the command "figpier node view".
+// Package nodeview implements the command "figpier node view".
 package nodeview
--- a/internal/command/nodeview/run.go
+++ b/internal/command/nodeview/run.go
@@ -7,26 +7,26 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory  *factory.Factory
-	api      *operators.Options
+	api      *apiflags.Options
 	instance string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier node".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("view", "Show which limits of a node hold requests back, for whom and since when.")
+	c := parent.Command("view", "Show which limits of a node are restricting requests, for which customers and since when.")
 	c.HelpLong(`  figpier status
   figpier node view booking-1`)
 	c.Arg("instance", "Name of the node, as \"figpier status\" shows it.").Required().StringVar(&o.instance)
-	o.api = operators.Flags(c)
+	o.api = apiflags.Add(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -43,7 +43,7 @@
 		return print.JSON(o.factory.Out(), server.NewViewNodeResponseBody(view))
 	}
 	if len(view.Bindings) == 0 {
-		return print.Line(o.factory.Out(), "no limit of %s holds requests back", view.Instance)
+		return print.Line(o.factory.Out(), "no limit of %s is restricting requests", view.Instance)
 	}
 	var rows [][]string
 	for _, b := range view.Bindings {
--- a/internal/command/operators/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package operators holds the flags that the commands for operators have in common.
-package operators
--- a/internal/command/print/doc.go
+++ b/internal/command/print/doc.go
@@ -1,2 +1,2 @@
-// Package print writes a command's data as a table or as JSON.
+// Package print writes the results of commands as tables, JSON or lines of text.
 package print
--- a/internal/command/print/print.go
+++ b/internal/command/print/print.go
@@ -10,12 +10,13 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures to write data.
+// Error is the class of errors in encoding or writing results.
 var Error = errs.Class("output")
 
-const columnGap = 2 // spaces
+// columnGap is the number of spaces between columns.
+const columnGap = 2
 
-// JSON writes a value as indented JSON.
+// JSON writes a value as indented JSON and leaves <, > and & unescaped.
 func JSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -23,7 +24,7 @@
 	return Error.Wrap(e.Encode(value))
 }
 
-// Table writes rows in columns below a header.
+// Table writes rows below a header, in aligned columns separated by spaces.
 func Table(w io.Writer, header []string, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
 	for _, r := range append([][]string{header}, rows...) {
@@ -34,7 +35,7 @@
 	return Error.Wrap(t.Flush())
 }
 
-// Line writes one formatted line.
+// Line formats and writes one line, to which it adds the newline.
 func Line(w io.Writer, format string, a ...any) error {
 	_, err := fmt.Fprintf(w, format+"\n", a...)
 	return Error.Wrap(err)
--- a/internal/command/profileapply/doc.go
+++ b/internal/command/profileapply/doc.go
@@ -1,2 +1,2 @@
-// Package profileapply is the command "figpier profile apply".
+// Package profileapply implements the command "figpier profile apply".
 package profileapply
--- a/internal/command/profileapply/run.go
+++ b/internal/command/profileapply/run.go
@@ -10,42 +10,43 @@
 	"github.com/zeebo/errs"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 	"github.com/figpier/figpier/internal/host/profile"
 	"github.com/figpier/figpier/internal/link/operator"
 )
 
-// Error is the class of failures to read the file.
+// Error is the class of errors in reading the profile file.
 var Error = errs.Class("profile apply")
 
-// standardInput is the name of standard input, which kingpin hands over as an empty argument.
+// standardInput is the argument and the file name in messages that stand for standard input.
+// Kingpin passes this argument on as an empty string.
 const standardInput = "-"
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
-	edit    *operators.EditOptions
+	api     *apiflags.Options
+	edit    *apiflags.EditOptions
 	file    string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier profile".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("apply", "Create or change a profile to what a profile file says.")
+	c := parent.Command("apply", "Create or update a profile from a profile file.")
 	c.HelpLong(`  figpier profile apply booking.jsonc
   figpier profile apply booking.jsonc --base 7
   figpier profile view booking | figpier profile apply -`)
 	c.Arg("file", "Profile file, JSON with comments, or - for standard input.").Required().StringVar(&o.file)
-	o.api = operators.Flags(c)
-	o.edit = operators.BasedEditFlags(c)
+	o.api = apiflags.Add(c)
+	o.edit = apiflags.AddEditWithBase(c)
 	c.Action(f.Action(o.run))
 }
 
 func (o *options) run() error {
-	text, err := o.read()
+	text, err := o.readFile()
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -58,7 +59,7 @@
 		return err
 	}
 	ctx, name := o.factory.Context(), string(p.Name())
-	edit, err := o.edit.Edit(func() (int64, error) { return current(ctx, client, name) })
+	edit, err := o.edit.Config(func() (int64, error) { return profileRevision(ctx, client, name) })
 	if err != nil {
 		return err
 	}
@@ -72,7 +73,8 @@
 	return print.Line(o.factory.Out(), "profile %s is at revision %d", name, receipt.Revision)
 }
 
-func (o *options) read() ([]byte, error) {
+// readFile reads the profile file or, up to profile.MaxSize, standard input.
+func (o *options) readFile() ([]byte, error) {
 	if o.file == standardInput || o.file == "" {
 		o.file = standardInput
 		return io.ReadAll(io.LimitReader(o.factory.In(), profile.MaxSize))
@@ -80,8 +82,8 @@
 	return os.ReadFile(o.file)
 }
 
-// current returns the profile's revision, 0 when it does not exist.
-func current(ctx context.Context, c *operator.Client, name string) (int64, error) {
+// profileRevision returns the profile's revision, or 0 if the profile does not exist.
+func profileRevision(ctx context.Context, c *operator.Client, name string) (int64, error) {
 	v, err := c.Profile(ctx, name)
 	var failure *operator.FailureError
 	if errors.As(err, &failure) && failure.Name() == operator.FailureNotFound {
--- a/internal/command/profileassign/doc.go
+++ b/internal/command/profileassign/doc.go
@@ -1,2 +1,2 @@
-// Package profileassign is the command "figpier profile assign".
+// Package profileassign implements the command "figpier profile assign".
 package profileassign
--- a/internal/command/profileassign/run.go
+++ b/internal/command/profileassign/run.go
@@ -6,31 +6,31 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 	"github.com/figpier/figpier/internal/link/operator"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
-	edit    *operators.EditOptions
+	api     *apiflags.Options
+	edit    *apiflags.EditOptions
 	profile string
 	service string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier profile".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("assign", "Give a service a profile.")
+	c := parent.Command("assign", "Assign a profile to a service.")
 	c.HelpLong(`  figpier profile assign booking dates
   figpier profile assign booking dates --base 9`)
 	c.Arg("profile", "Name of the profile.").Required().StringVar(&o.profile)
 	c.Arg("service", "Name of the service.").Required().StringVar(&o.service)
-	o.api = operators.Flags(c)
-	o.edit = operators.BasedEditFlags(c)
+	o.api = apiflags.Add(c)
+	o.edit = apiflags.AddEditWithBase(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -40,7 +40,7 @@
 		return err
 	}
 	ctx := o.factory.Context()
-	edit, err := o.edit.Edit(func() (int64, error) { return current(ctx, client, o.service) })
+	edit, err := o.edit.Config(func() (int64, error) { return assignmentRevision(ctx, client, o.service) })
 	if err != nil {
 		return err
 	}
@@ -54,8 +54,8 @@
 	return print.Line(o.factory.Out(), "service %s has profile %s at revision %d", o.service, o.profile, receipt.Revision)
 }
 
-// current returns the revision of a service's assignment, 0 when it has none.
-func current(ctx context.Context, c *operator.Client, service string) (int64, error) {
+// assignmentRevision returns the revision of a service's assignment, or 0 if the service has none.
+func assignmentRevision(ctx context.Context, c *operator.Client, service string) (int64, error) {
 	list, err := c.Assignments(ctx)
 	if err != nil {
 		return 0, err
--- a/internal/command/profiledelete/doc.go
+++ b/internal/command/profiledelete/doc.go
@@ -1,2 +1,2 @@
-// Package profiledelete is the command "figpier profile delete".
+// Package profiledelete implements the command "figpier profile delete".
 package profiledelete
--- a/internal/command/profiledelete/run.go
+++ b/internal/command/profiledelete/run.go
@@ -4,28 +4,28 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
-	edit    *operators.EditOptions
+	api     *apiflags.Options
+	edit    *apiflags.EditOptions
 	name    string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier profile".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("delete", "Delete a profile that no service has.")
+	c := parent.Command("delete", "Delete a profile that is not assigned to any service.")
 	c.HelpLong(`  figpier profile delete booking
   figpier profile delete booking --base 7`)
 	c.Arg("name", "Name of the profile.").Required().StringVar(&o.name)
-	o.api = operators.Flags(c)
-	o.edit = operators.BasedEditFlags(c)
+	o.api = apiflags.Add(c)
+	o.edit = apiflags.AddEditWithBase(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -35,7 +35,7 @@
 		return err
 	}
 	ctx := o.factory.Context()
-	edit, err := o.edit.Edit(func() (int64, error) {
+	edit, err := o.edit.Config(func() (int64, error) {
 		v, err := client.Profile(ctx, o.name)
 		if err != nil {
 			return 0, err
--- a/internal/command/profilelist/doc.go
+++ b/internal/command/profilelist/doc.go
@@ -1,2 +1,2 @@
-// Package profilelist is the command "figpier profile list".
+// Package profilelist implements the command "figpier profile list".
 package profilelist
--- a/internal/command/profilelist/run.go
+++ b/internal/command/profilelist/run.go
@@ -7,24 +7,24 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
+	api     *apiflags.Options
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier profile".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("list", "List the profiles.")
+	c := parent.Command("list", "List profiles.")
 	c.HelpLong(`  figpier profile list
   figpier profile list --json`)
-	o.api = operators.Flags(c)
+	o.api = apiflags.Add(c)
 	c.Action(f.Action(o.run))
 }
 
--- a/internal/command/profileview/doc.go
+++ b/internal/command/profileview/doc.go
@@ -1,2 +1,2 @@
-// Package profileview is the command "figpier profile view".
+// Package profileview implements the command "figpier profile view".
 package profileview
--- a/internal/command/profileview/run.go
+++ b/internal/command/profileview/run.go
@@ -6,26 +6,26 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/figpier/figpier/gen/http/operator/server"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags and arguments of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
+	api     *apiflags.Options
 	name    string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier profile".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("view", "Show a profile in the form of a profile file.")
+	c := parent.Command("view", "Show a profile in the format of a profile file.")
 	c.HelpLong(`  figpier profile view booking > booking.jsonc
   figpier profile view booking --json`)
 	c.Arg("name", "Name of the profile.").Required().StringVar(&o.name)
-	o.api = operators.Flags(c)
+	o.api = apiflags.Add(c)
 	c.Action(f.Action(o.run))
 }
 
--- a/internal/command/root/doc.go
+++ b/internal/command/root/doc.go
@@ -1,2 +1,2 @@
-// Package root is the command "figpier" with its nouns.
+// Package root implements the command "figpier": it registers the subcommands and maps errors to exit codes.
 package root
--- a/internal/command/root/exit.go
+++ b/internal/command/root/exit.go
@@ -10,62 +10,64 @@
 // Exit codes of the program.
 const (
 	ExitOK             = 0
-	ExitFailure        = 1
-	ExitUsage          = 2
-	ExitInvalid        = 3
-	ExitConflict       = 4
+	ExitFailure        = 1 // any error without a code of its own
+	ExitUsage          = 2 // invalid command, flags or arguments
+	ExitInvalid        = 3 // invalid settings file, profile file or edit
+	ExitConflict       = 4 // the edit's base revision is not the current one
 	ExitUnauthorized   = 5
 	ExitNotFound       = 6
-	ExitUnreached      = 7
-	ExitOutcomeUnknown = 8
+	ExitUnreached      = 7 // a control instance, the leader or a node could not be reached
+	ExitOutcomeUnknown = 8 // the edit may or may not have been accepted
 )
 
-// advice is the exit code of a failure and what the user may do.
-type advice struct {
+// failureExit holds the exit code for a failure and a hint that tells the user what to do; the hint may be empty.
+type failureExit struct {
 	code int
 	hint string
 }
 
-var adviceOf = map[string]advice{
-	operator.FailureInvalid:        {ExitInvalid, "nothing was changed: mend the field and run the command again"},
-	operator.FailureConflict:       {ExitConflict, "another edit was first and nothing was changed: view the object, then run the command again"},
-	operator.FailureUnauthorized:   {ExitUnauthorized, "give the token of an operator who is in the control instances' token file"},
+// exitByFailureName maps the failure names of the operator API to exit codes and hints.
+var exitByFailureName = map[string]failureExit{
+	operator.FailureInvalid:        {ExitInvalid, "nothing was changed: fix the field and run the command again"},
+	operator.FailureConflict:       {ExitConflict, "nothing was changed because another edit was accepted first: view the object, then run the command again"},
+	operator.FailureUnauthorized:   {ExitUnauthorized, "use the token of an operator listed in the control instances' token file"},
 	operator.FailureNotFound:       {ExitNotFound, "list the objects to see their names"},
-	operator.FailureNotLeader:      {ExitUnreached, "nothing was changed: give the addresses of all control instances, separated by commas"},
-	operator.FailureUnreached:      {ExitUnreached, "nothing was changed: try another control instance, and see \"figpier status\""},
+	operator.FailureNotLeader:      {ExitUnreached, "nothing was changed: pass the addresses of all control instances, separated by commas"},
+	operator.FailureUnreached:      {ExitUnreached, "nothing was changed: try another control instance, and check \"figpier status\""},
 	operator.FailureOutcomeUnknown: {ExitOutcomeUnknown, ""},
 }
 
-// explainRun returns the exit code of a command's failure and what the user may do.
-func explainRun(err error) (code int, hint string) {
+// classifyRunError returns the exit code and the hint for an error that a command returned while it ran.
+func classifyRunError(err error) (code int, hint string) {
 	var problems *jsonc.ProblemsError
 	var failure *operator.FailureError
 	var unreached *operator.UnreachedError
 	var lost *operator.LostAnswerError
 	switch {
 	case errors.As(err, &problems):
-		return ExitInvalid, "mend the file and run the command again"
+		return ExitInvalid, "fix the file and run the command again"
 	case errors.As(err, &lost):
 		return ExitOutcomeUnknown, resendHint(lost.Operation())
 	case errors.As(err, &unreached):
-		return ExitUnreached, "check the addresses, and that a control instance runs there"
+		return ExitUnreached, "check the addresses and that a control instance is running there"
 	case errors.As(err, &failure):
-		return explainFailure(failure)
+		return classifyAPIFailure(failure)
 	}
 	return ExitFailure, ""
 }
 
-func explainFailure(f *operator.FailureError) (code int, hint string) {
-	a, ok := adviceOf[f.Name()]
+// classifyAPIFailure returns the exit code and the hint for a failure that a control instance answered with.
+func classifyAPIFailure(f *operator.FailureError) (code int, hint string) {
+	exit, ok := exitByFailureName[f.Name()]
 	switch {
 	case !ok:
 		return ExitFailure, ""
-	case a.code == ExitOutcomeUnknown:
-		return a.code, resendHint(f.Operation())
+	case exit.code == ExitOutcomeUnknown:
+		return exit.code, resendHint(f.Operation())
 	}
-	return a.code, a.hint
+	return exit.code, exit.hint
 }
 
 func resendHint(operation string) string {
-	return "the edit may or may not be accepted: run the command again with --operation " + operation + " to get its answer"
+	return "the edit may or may not have been accepted: run the command again with --operation " + operation + " to get its result"
 }
--- a/internal/command/root/root.go
+++ b/internal/command/root/root.go
@@ -25,7 +25,7 @@
 	"github.com/figpier/figpier/internal/command/version"
 )
 
-// usageTemplate shows a command's examples below its usage.
+// usageTemplate adds a command's examples, which its long help holds, to kingpin's usage text.
 var usageTemplate = kingpin.DefaultUsageTemplate + `{{with .Context.SelectedCommand}}{{if .HelpLong}}Examples:
 {{.HelpLong}}
 {{end}}{{end}}`
@@ -36,21 +36,22 @@
 	app.UsageTemplate(usageTemplate)
 	app.UsageWriter(f.Out())
 	app.ErrorWriter(f.Err())
-	app.Terminate(func(int) { f.ShowedHelp() })
-	register(app, f)
+	// Kingpin would exit the process after it has shown help.
+	app.Terminate(func(int) { f.MarkHelpShown() })
+	registerCommands(app, f)
 
 	_, err := app.Parse(arguments)
 	if f.HelpShown() {
 		return ExitOK
 	}
-	return report(f, err)
+	return reportError(f, err)
 }
 
-func register(app *kingpin.Application, f *factory.Factory) {
-	node := app.Command("node", "Work with a node, the process beside a backend server.")
+func registerCommands(app *kingpin.Application, f *factory.Factory) {
+	node := app.Command("node", "Work with nodes, the processes beside backend servers.")
 	noderun.Register(node, f)
 	nodeview.Register(node, f)
-	control := app.Command("control", "Work with a control instance.")
+	control := app.Command("control", "Work with control instances.")
 	controlrun.Register(control, f)
 	profile := app.Command("profile", "Work with profiles.")
 	profileapply.Register(profile, f)
@@ -71,12 +72,12 @@
 	version.Register(app, f)
 }
 
-// report tells the user what failed and what to do, and returns the exit code.
-func report(f *factory.Factory, err error) int {
+// reportError writes the error and a hint to standard error, and returns the exit code.
+func reportError(f *factory.Factory, err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	code, hint := explain(err)
+	code, hint := classifyError(err)
 	_ = print.Line(f.Err(), "figpier: %v", err)
 	if hint != "" {
 		_ = print.Line(f.Err(), "%s", hint)
@@ -84,11 +85,12 @@
 	return code
 }
 
-// explain returns the exit code of a failure and what the user may do.
-func explain(err error) (code int, hint string) {
+// classifyError returns the exit code and the hint for an error.
+// Kingpin reports errors in flags and arguments without a RunError.
+func classifyError(err error) (code int, hint string) {
 	var run *factory.RunError
 	if !errors.As(err, &run) {
-		return ExitUsage, "run \"figpier help\" followed by the command for its usage"
+		return ExitUsage, "run \"figpier help\" followed by the command name for its usage"
 	}
-	return explainRun(run)
+	return classifyRunError(run)
 }
--- a/internal/command/root/root_test.go
+++ b/internal/command/root/root_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/poll"
 
 	"github.com/figpier/figpier"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/control/catalog"
 	"github.com/figpier/figpier/internal/control/operator"
 	"github.com/figpier/figpier/internal/control/replica"
@@ -30,9 +30,9 @@
 )
 
 const (
-	token       = "a-token"
-	profileFile = `{
-  "name": "booking", // the venue's tools
+	operatorToken = "a-token"
+	profileFile   = `{
+  "name": "booking", // the venue's booking service
   "routes": [{"method": "GET", "path": "/*", "priority": 3, "idempotent": true, "deadline": "2s"}],
   "defaultLimit": {"rate": "100/s", "burst": 50},
   "retry": {"treeBudget": 2, "share": 0.1, "callerInterval": "100ms"},
@@ -40,62 +40,65 @@
 `
 )
 
-// shell runs commands against one control instance.
-type shell struct {
-	t      *testing.T
-	folder string
+// controlFixture holds the files that a test passes to commands while one control instance runs.
+type controlFixture struct {
+	t   *testing.T
+	dir string
 }
 
-// result is what a command printed and its exit code.
+// result holds a command's exit code and what it wrote to standard output and standard error.
 type result struct {
 	code     int
 	out, err string
 }
 
-func newShell(t *testing.T) *shell {
+// startControl runs a control instance until the test ends and points the environment of the commands to it.
+func startControl(t *testing.T) *controlFixture {
 	t.Helper()
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	api := operator.New(operator.Config{
 		Instance: "control-1",
 		Address:  "127.0.0.1:0",
-		Tokens:   []operator.Token{operator.NewToken(operator.TokenConfig{Operator: "amina", Digest: sha256.Sum256([]byte(token))})},
+		Tokens:   []operator.Token{operator.NewToken(operator.TokenConfig{Operator: "amina", Digest: sha256.Sum256([]byte(operatorToken))})},
 		Log:      logrus.NewEntry(l),
 	})
 	k := registry.New(registry.Config{Clock: system.Clock{}})
 	log := replica.New(replica.Config{Instance: "control-1", DataFolder: t.TempDir()})
-	states := catalog.New()
-	log.Drive(states)
+	store := catalog.New()
+	log.Drive(store)
 	assert.NilError(t, k.Register(jsonrpc.New(jsonrpc.Config{AskTimeout: time.Second})))
 	assert.NilError(t, k.Register(log))
-	assert.NilError(t, k.Register(states))
+	assert.NilError(t, k.Register(store))
 	assert.NilError(t, k.Register(api))
-	started := &startedService{ready: make(chan struct{})}
-	assert.NilError(t, k.Register(started))
+	signal := &startSignal{started: make(chan struct{})}
+	assert.NilError(t, k.Register(signal))
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
 		done <- k.Run(ctx, func() (context.Context, context.CancelFunc) { return context.WithTimeout(ctx, time.Minute) })
 	}()
 	t.Cleanup(func() { stop(); <-done })
-	<-started.ready
-	t.Setenv(operators.EnvAddress, api.Address())
-	t.Setenv(operators.EnvToken, token)
+	<-signal.started
+	t.Setenv(apiflags.EnvAddress, api.Address())
+	t.Setenv(apiflags.EnvToken, operatorToken)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := run("profile", "list"); got.code != ExitOK {
 			return poll.Continue("%s", got.err)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute))
-	return &shell{t: t, folder: t.TempDir()}
+	return &controlFixture{t: t, dir: t.TempDir()}
 }
 
-func (s *shell) file(name, text string) string {
-	path := filepath.Join(s.folder, name)
+// writeFile writes a file into the directory of the fixture and returns its path.
+func (s *controlFixture) writeFile(name, text string) string {
+	path := filepath.Join(s.dir, name)
 	assert.NilError(s.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
+// run runs one command, with profileFile as its standard input.
 func run(arguments ...string) result {
 	out, messages := &bytes.Buffer{}, &bytes.Buffer{}
 	f := factory.New(factory.Config{
@@ -108,9 +111,9 @@
 	return result{code: code, out: out.String(), err: messages.String()}
 }
 
-func TestOperatorsDay(t *testing.T) {
-	s := newShell(t)
-	file := s.file("booking.jsonc", profileFile)
+func TestOperatorWorkflow(t *testing.T) {
+	s := startControl(t)
+	file := s.writeFile("booking.jsonc", profileFile)
 	assert.Equal(t, run("profile", "apply", file).out, "profile booking is at revision 2\n")
 	second := run("profile", "apply", "-")
 	assert.Equal(t, second.out, "profile booking is at revision 3\n", second.err)
@@ -119,7 +122,7 @@
 	assert.Equal(t, run("assignment", "list").out, "SERVICE  PROFILE  REVISION\ndates    booking  4\n")
 
 	view := run("profile", "view", "booking")
-	again := s.file("again.jsonc", view.out)
+	again := s.writeFile("again.jsonc", view.out)
 	assert.Equal(t, run("profile", "apply", again, "--base", "3").out, "profile booking is at revision 5\n")
 
 	given := run("key", "give", "valv")
@@ -136,8 +139,8 @@
 	assert.Assert(t, strings.Contains(status.out, "leader          control-1\n"), status.out)
 }
 
-func TestResendGetsTheFirstAnswer(t *testing.T) {
-	newShell(t)
+func TestResendReturnsFirstAnswer(t *testing.T) {
+	startControl(t)
 	first := run("profile", "apply", "-", "--operation", "op-1")
 	assert.Equal(t, run("profile", "apply", "-", "--operation", "op-1").out, first.out)
 	assert.Assert(t, strings.HasPrefix(run("key", "give", "valv", "--operation", "op-2").out, "fpk_"))
@@ -147,16 +150,16 @@
 }
 
 func TestFailuresHaveExitCodesAndHints(t *testing.T) {
-	s := newShell(t)
-	file := s.file("booking.jsonc", profileFile)
-	broken := s.file("broken.jsonc", strings.Replace(profileFile, `"2s"`, "2", 1))
+	s := startControl(t)
+	file := s.writeFile("booking.jsonc", profileFile)
+	broken := s.writeFile("broken.jsonc", strings.Replace(profileFile, `"2s"`, "2", 1))
 	assert.Equal(t, run("profile", "apply", file).code, ExitOK)
 	assert.Equal(t, run("profile", "assign", "booking", "dates").code, ExitOK)
 	tests := []struct {
 		name      string
 		arguments string
 		code      int
-		says      string
+		wantError string
 	}{
 		{"unknown command", "profile frob", ExitUsage, "figpier help"},
 		{"missing argument", "profile apply", ExitUsage, "required argument 'file'"},
@@ -167,26 +170,26 @@
 		{"profile in use", "profile delete booking", ExitInvalid, "assign another first"},
 		{"no such profile to view", "profile view none", ExitNotFound, "there is no profile \"none\""},
 		{"wrong token", "status --token wrong", ExitUnauthorized, "token file"},
-		{"nobody there", "status --address 127.0.0.1:1", ExitUnreached, "127.0.0.1:1"},
+		{"no listener", "status --address 127.0.0.1:1", ExitUnreached, "127.0.0.1:1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := run(strings.Fields(tt.arguments)...)
 			assert.Equal(t, got.code, tt.code, got.err)
-			assert.Assert(t, strings.Contains(got.err, tt.says), got.err)
+			assert.Assert(t, strings.Contains(got.err, tt.wantError), got.err)
 			assert.Equal(t, got.out, "")
 		})
 	}
 }
 
-func TestClientGoesOnToTheNextAddress(t *testing.T) {
-	newShell(t)
-	addresses := "127.0.0.1:1," + os.Getenv(operators.EnvAddress)
+func TestClientTriesNextAddress(t *testing.T) {
+	startControl(t)
+	addresses := "127.0.0.1:1," + os.Getenv(apiflags.EnvAddress)
 	assert.Equal(t, run("status", "--address", addresses).code, ExitOK)
 }
 
-func TestLostAnswerIsSaidSo(t *testing.T) {
-	newShell(t)
+func TestLostAnswerReportsUnknownOutcome(t *testing.T) {
+	startControl(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -202,8 +205,8 @@
 	assert.Assert(t, strings.Contains(got.err, "--operation op-9"))
 }
 
-func TestHelpShowsExamplesAndRunsNothing(t *testing.T) {
-	t.Setenv(operators.EnvAddress, "127.0.0.1:1")
+func TestHelpShowsExamplesWithoutRunning(t *testing.T) {
+	t.Setenv(apiflags.EnvAddress, "127.0.0.1:1")
 	for _, arguments := range []string{"help profile apply", "profile apply --help"} {
 		got := run(strings.Fields(arguments)...)
 		assert.Equal(t, got.code, ExitOK, got.err)
@@ -213,19 +216,19 @@
 	assert.Assert(t, !strings.Contains(run("version", "--help").out, "(go"), "the command ran")
 }
 
-// startedService tells when the services before it have started.
-type startedService struct {
-	ready chan struct{}
+// startSignal is a service that closes a channel when every service registered before it has started.
+type startSignal struct {
+	started chan struct{}
 }
 
-func (s *startedService) Name() figpier.ServiceName { return "test.started" }
+func (s *startSignal) Name() figpier.ServiceName { return "test.started" }
 
-func (s *startedService) Start(context.Context, figpier.Directory) error {
-	close(s.ready)
+func (s *startSignal) Start(context.Context, figpier.Directory) error {
+	close(s.started)
 	return nil
 }
 
-func (s *startedService) Stop(context.Context) error { return nil }
+func (s *startSignal) Stop(context.Context) error { return nil }
 
 func TestExitCodesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/operations/commands.md")
--- a/internal/command/settingscheck/doc.go
+++ b/internal/command/settingscheck/doc.go
@@ -1,2 +1,2 @@
-// Package settingscheck is the command "figpier settings check".
+// Package settingscheck implements the command "figpier settings check".
 package settingscheck
--- a/internal/command/settingscheck/run.go
+++ b/internal/command/settingscheck/run.go
@@ -10,16 +10,16 @@
 	"github.com/figpier/figpier/internal/host/settings"
 )
 
-// options are the arguments of the command.
+// options holds the dependencies and the arguments of the command.
 type options struct {
 	factory *factory.Factory
 	files   []string
 }
 
-// Register adds the command below its noun.
-func Register(noun *kingpin.CmdClause, f *factory.Factory) {
+// Register adds the command to its parent, "figpier settings".
+func Register(parent *kingpin.CmdClause, f *factory.Factory) {
 	o := &options{factory: f}
-	c := noun.Command("check", "Check settings files as a process does at its start.")
+	c := parent.Command("check", "Check settings files as a process does when it starts.")
 	c.HelpLong(`  figpier settings check node.jsonc
   figpier settings check /etc/figpier/*.jsonc`)
 	c.Arg("file", "Settings file, JSON with comments.").Required().StringsVar(&o.files)
@@ -28,7 +28,7 @@
 
 func (o *options) run() error {
 	for _, file := range o.files {
-		if err := check(file); err != nil {
+		if err := checkFile(file); err != nil {
 			return err
 		}
 		if err := print.Line(o.factory.Out(), "%s: ok", file); err != nil {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// check reads a settings file and the files that it names.
-func check(file string) error {
+// checkFile reads a settings file and the certificate and token files that it names.
+func checkFile(file string) error {
 	s, err := settings.Read(file)
 	if err != nil {
 		return err
--- a/internal/command/status/doc.go
+++ b/internal/command/status/doc.go
@@ -1,2 +1,2 @@
-// Package status is the command "figpier status".
+// Package status implements the command "figpier status".
 package status
--- a/internal/command/status/run.go
+++ b/internal/command/status/run.go
@@ -8,24 +8,24 @@
 
 	"github.com/figpier/figpier/gen/http/operator/server"
 	api "github.com/figpier/figpier/gen/operator"
+	"github.com/figpier/figpier/internal/command/apiflags"
 	"github.com/figpier/figpier/internal/command/factory"
-	"github.com/figpier/figpier/internal/command/operators"
 	"github.com/figpier/figpier/internal/command/print"
 )
 
-// options are the flags and arguments of the command.
+// options holds the dependencies and the flags of the command.
 type options struct {
 	factory *factory.Factory
-	api     *operators.Options
+	api     *apiflags.Options
 }
 
-// Register adds the command.
+// Register adds the command "figpier status".
 func Register(app *kingpin.Application, f *factory.Factory) {
 	o := &options{factory: f}
-	c := app.Command("status", "Show what a control instance knows of the fleet.")
+	c := app.Command("status", "Show the state of the fleet as a control instance knows it.")
 	c.HelpLong(`  figpier status
   figpier status --json`)
-	o.api = operators.Flags(c)
+	o.api = apiflags.Add(c)
 	c.Action(f.Action(o.run))
 }
 
@@ -47,6 +47,7 @@
 	return o.printMembers(s.Members)
 }
 
+// printControl prints the state of the control instance that answered.
 func (o *options) printControl(s *api.Status) error {
 	age := time.Duration(s.QuorumAgeMillis) * time.Millisecond
 	rows := [][]string{
@@ -60,6 +61,7 @@
 	return print.Table(o.factory.Out(), []string{"control", s.Instance}, rows)
 }
 
+// printMembers prints the nodes of the fleet after an empty line.
 func (o *options) printMembers(members []*api.Member) error {
 	if err := print.Line(o.factory.Out(), ""); err != nil {
 		return err
--- a/internal/command/version/doc.go
+++ b/internal/command/version/doc.go
@@ -1,2 +1,2 @@
-// Package version is the command "figpier version".
+// Package version implements the command "figpier version".
 package version
--- a/internal/command/version/run.go
+++ b/internal/command/version/run.go
@@ -10,15 +10,16 @@
 	"github.com/figpier/figpier/internal/command/print"
 )
 
+// unknownVersion is printed when the build information has no module version.
 const unknownVersion = "(devel)"
 
-// options are the flags of the command.
+// options holds the dependencies and the flags of the command.
 type options struct {
 	factory *factory.Factory
 	json    bool
 }
 
-// Register adds the command.
+// Register adds the command "figpier version".
 func Register(app *kingpin.Application, f *factory.Factory) {
 	o := &options{factory: f}
 	c := app.Command("version", "Show the version of the program.")
