--- a/internal/command/sample/services.go
+++ b/internal/command/sample/services.go
@@ -49,28 +49,28 @@
 
 // NewCalendar returns the server of the calendar service, which keeps the holds in memory.
 func NewCalendar(c Config) *Server {
-	k := &calendarHandler{holds: map[string]int{}}
+	h := &calendarHandler{holds: map[string]int{}}
 	m := http.NewServeMux()
-	m.HandleFunc("GET /days/{day}", k.viewDay)
-	m.HandleFunc("POST /holds/{day}", k.holdDay)
+	m.HandleFunc("GET /days/{day}", h.viewDay)
+	m.HandleFunc("POST /holds/{day}", h.holdDay)
 	s := newServer(c)
 	s.handler = m
 	return s
 }
 
-func (k *calendarHandler) viewDay(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (h *calendarHandler) viewDay(w http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	name := r.PathValue("day")
-	writeDay(w, http.StatusOK, dayStatus{name: name, holds: k.holds[name]})
+	writeDay(w, http.StatusOK, dayStatus{name: name, holds: h.holds[name]})
 }
 
-func (k *calendarHandler) holdDay(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (h *calendarHandler) holdDay(w http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	name := r.PathValue("day")
-	k.holds[name]++
-	writeDay(w, http.StatusCreated, dayStatus{name: name, holds: k.holds[name]})
+	h.holds[name]++
+	writeDay(w, http.StatusCreated, dayStatus{name: name, holds: h.holds[name]})
 }
 
 func writeDay(w http.ResponseWriter, status int, d dayStatus) {
