--- a/control.go
+++ b/control.go
@@ -56,8 +56,8 @@
 // ReplicatedLog replicates commands between control instances and applies them in order to a state machine on the control thread.
 type ReplicatedLog interface {
 	Service
-	// Drive sets the state machine. It must be called before the log starts.
-	Drive(m StateMachine)
+	// SetStateMachine sets the state machine. It must be called before the log starts.
+	SetStateMachine(m StateMachine)
 	// Propose returns the state machine's result once a quorum has committed the command.
 	Propose(ctx context.Context, command []byte) (answer any, err error)
 	// QuorumAge returns the time since this instance was last known to be up to date with a quorum.
@@ -98,8 +98,8 @@
 // Exchange copies member registrations between control instances and tracks which of them respond.
 type Exchange interface {
 	Service
-	// Places returns the control instances that responded recently, including this one.
-	Places() []ControlPlace
+	// Controls returns the control instances that responded recently, including this one.
+	Controls() []ControlPlace
 }
 
 // FindExchange finds the exchange of a control instance.
@@ -114,17 +114,17 @@
 	Announce(m *Member, sinceElsewhere time.Duration)
 	// Merge applies a delta of the members registered with another control instance. If full is set, d replaces all of them.
 	Merge(source InstanceID, d MemberDelta, full bool)
-	// Drop removes the members of a control instance that no longer responds.
-	Drop(source InstanceID)
+	// RemoveSource removes the members of a control instance that no longer responds.
+	RemoveSource(source InstanceID)
 	// ID returns the identifier of this registry. Version numbers are comparable only between deltas with the same ID.
 	ID() string
 	// Settled reports whether the registry has run long enough for every live member to have registered.
 	Settled(now time.Time) bool
 	// Count returns the number of members registered with any control instance.
 	Count() int
-	// Polling returns the number of members that poll this control instance regularly, and the greatest recent number at
+	// CountPolling returns the number of members that poll this control instance regularly, and the greatest recent number at
 	// all control instances. A member that changes control instance is briefly counted at neither.
-	Polling(now time.Time) (local, all int)
+	CountPolling(now time.Time) (local, all int)
 	// Since returns the changes after a version across all control instances.
 	Since(version uint64) MemberDelta
 	// LocalSince returns the changes after a version among the members that poll this control instance.
--- a/exchange.go
+++ b/exchange.go
@@ -137,17 +137,17 @@
 	VerdictFull
 	// VerdictNotRun says that the backend server did not run the request for another reason.
 	VerdictNotRun
-	// VerdictForeign is an answer to some other request; this one may have run.
-	VerdictForeign
+	// VerdictMismatch is an answer to some other request; this one may have run.
+	VerdictMismatch
 )
 
 // Dialect adapts calls and answers to the HTTP conventions of the local backend server.
 type Dialect interface {
 	Service
-	// Dress sets the request headers that the backend server expects. remaining is the time until the call's deadline.
-	Dress(h http.Header, c *Call, remaining time.Duration)
-	// Read classifies an answer by its status and headers.
-	Read(status int, h http.Header, c *Call) Verdict
+	// SetHeaders sets the request headers that the backend server expects. remaining is the time until the call's deadline.
+	SetHeaders(h http.Header, c *Call, remaining time.Duration)
+	// Classify classifies an answer by its status and headers.
+	Classify(status int, h http.Header, c *Call) Verdict
 }
 
 // Readiness reports whether a node accepts new callers.
--- a/internal/baseline/fixed/admission.go
+++ b/internal/baseline/fixed/admission.go
@@ -13,7 +13,7 @@
 	slots chan struct{}
 }
 
-// NewAdmission returns an admission with the given number of slots until Resize changes it.
+// NewAdmission returns an admission with the given number of slots until SetSlots changes it.
 func NewAdmission(slots int) *Admission { return &Admission{slots: make(chan struct{}, slots)} }
 
 // Name implements figpier.Service.
@@ -28,8 +28,8 @@
 // CutOff implements figpier.Admission.
 func (a *Admission) CutOff() figpier.Rank { return figpier.MaxRank }
 
-// Resize implements figpier.Admission. Calls that run keep their slots of the previous size; 0 is ignored.
-func (a *Admission) Resize(slots int) {
+// SetSlots implements figpier.Admission. Calls that run keep their slots of the previous size; 0 is ignored.
+func (a *Admission) SetSlots(slots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if slots > 0 && slots != cap(a.slots) {
--- a/internal/baseline/fixed/plain.go
+++ b/internal/baseline/fixed/plain.go
@@ -9,16 +9,16 @@
 // retriesPerHop is the number of retries that each call may make at each hop.
 const retriesPerHop = 2
 
-// PlainJudge implements figpier.RetryJudge with a number of retries at each hop and no budget for the tree of calls.
-type PlainJudge struct {
-	Judge
+// UnbudgetedDecider implements figpier.RetryDecider with a number of retries at each hop and no budget for the tree of calls.
+type UnbudgetedDecider struct {
+	Decider
 }
 
-// NewPlainJudge returns a judge for retries without a budget.
-func NewPlainJudge() *PlainJudge { return &PlainJudge{} }
+// NewUnbudgetedDecider returns a decider for retries without a budget.
+func NewUnbudgetedDecider() *UnbudgetedDecider { return &UnbudgetedDecider{} }
 
-// Portion implements figpier.RetryJudge. It takes nothing from the call's budget.
-func (j *PlainJudge) Portion(figpier.LiveCall) int { return retriesPerHop }
+// TakeBudgetPortion implements figpier.RetryDecider. It takes nothing from the call's budget.
+func (d *UnbudgetedDecider) TakeBudgetPortion(figpier.LiveCall) int { return retriesPerHop }
 
 // OpenAdmission implements figpier.Admission and admits every call.
 type OpenAdmission struct {
@@ -28,8 +28,8 @@
 // NewOpenAdmission returns an admission without a limit.
 func NewOpenAdmission() *OpenAdmission { return &OpenAdmission{} }
 
-// Resize implements figpier.Admission.
-func (a *OpenAdmission) Resize(int) {}
+// SetSlots implements figpier.Admission.
+func (a *OpenAdmission) SetSlots(int) {}
 
 // Admit implements figpier.Admission.
 func (a *OpenAdmission) Admit(context.Context, *figpier.Call) (figpier.Ticket, error) {
--- a/internal/baseline/fixed/routing.go
+++ b/internal/baseline/fixed/routing.go
@@ -52,34 +52,36 @@
 // CutOff implements figpier.Router.
 func (r *Router) CutOff(figpier.UpstreamService) figpier.Rank { return figpier.MaxRank }
 
-// Judge implements figpier.RetryJudge with the budget of the tree of calls as the only limit.
-type Judge struct{}
+// Decider implements figpier.RetryDecider with the budget of the tree of calls as the only limit.
+type Decider struct{}
 
-// NewJudge returns a judge for retries within the budget.
-func NewJudge() *Judge { return &Judge{} }
+// NewDecider returns a decider for retries within the budget.
+func NewDecider() *Decider { return &Decider{} }
 
 // Name implements figpier.Service.
-func (j *Judge) Name() figpier.ServiceName { return figpier.RetryService }
+func (d *Decider) Name() figpier.ServiceName { return figpier.RetryService }
 
 // Start implements figpier.Service.
-func (j *Judge) Start(context.Context, figpier.Directory) error { return nil }
+func (d *Decider) Start(context.Context, figpier.Directory) error { return nil }
 
 // Stop implements figpier.Service.
-func (j *Judge) Stop(context.Context) error { return nil }
+func (d *Decider) Stop(context.Context) error { return nil }
 
-// Pace implements figpier.RetryJudge.
-func (j *Judge) Pace(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
+// CallerRetryDelay implements figpier.RetryDecider.
+func (d *Decider) CallerRetryDelay(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
 	return 0
 }
 
-// Portion implements figpier.RetryJudge.
-func (j *Judge) Portion(l figpier.LiveCall) int { return l.TakeBudget((l.Unused() + 1) / 2) }
+// TakeBudgetPortion implements figpier.RetryDecider.
+func (d *Decider) TakeBudgetPortion(l figpier.LiveCall) int {
+	return l.TakeBudget((l.UnusedBudget() + 1) / 2)
+}
 
-// First implements figpier.RetryJudge.
-func (j *Judge) First(*figpier.Call) {}
+// CountFirstAttempt implements figpier.RetryDecider.
+func (d *Decider) CountFirstAttempt(*figpier.Call) {}
 
-// Again implements figpier.RetryJudge.
-func (j *Judge) Again(c *figpier.Call, l figpier.LiveCall, o figpier.Outcome) (bool, figpier.RetryReason) {
+// MayRetry implements figpier.RetryDecider.
+func (d *Decider) MayRetry(c *figpier.Call, l figpier.LiveCall, o figpier.Outcome) (bool, figpier.RetryReason) {
 	reason := figpier.RetryFailed
 	switch o.Kind() {
 	case figpier.OutcomeDone, figpier.OutcomeCancelled:
--- a/internal/command/root/root_test.go
+++ b/internal/command/root/root_test.go
@@ -66,7 +66,7 @@
 	k := registry.New(registry.Config{Clock: system.Clock{}})
 	log := replica.New(replica.Config{Instance: "control-1", DataFolder: t.TempDir()})
 	store := catalog.New()
-	log.Drive(store)
+	log.SetStateMachine(store)
 	assert.NilError(t, k.Register(jsonrpc.New(jsonrpc.Config{AskTimeout: time.Second})))
 	assert.NilError(t, k.Register(log))
 	assert.NilError(t, k.Register(store))
--- a/internal/control/catalog/catalog.go
+++ b/internal/control/catalog/catalog.go
@@ -42,7 +42,7 @@
 
 // Start implements figpier.Service.
 func (c *Catalog) Start(_ context.Context, d figpier.Directory) error {
-	l, err := figpier.FindLog(d)
+	l, err := figpier.FindReplicatedLog(d)
 	if err != nil {
 		return err
 	}
--- a/internal/control/exchange/exchange.go
+++ b/internal/control/exchange/exchange.go
@@ -35,12 +35,14 @@
 	messenger figpier.Messenger
 
 	mu sync.Mutex
-	// places are the places of the other control instances that answer, by address.
-	places map[string]figpier.ControlPlace
+	// controls holds the other control instances that answer, by address.
+	controls map[string]figpier.ControlPlace
 }
 
 // New returns an exchange that has not started.
-func New(c Config) *Exchange { return &Exchange{config: c, places: map[string]figpier.ControlPlace{}} }
+func New(c Config) *Exchange {
+	return &Exchange{config: c, controls: map[string]figpier.ControlPlace{}}
+}
 
 // Name implements figpier.Service.
 func (x *Exchange) Name() figpier.ServiceName { return figpier.ExchangeService }
@@ -54,7 +56,7 @@
 	if x.messenger, err = figpier.FindMessenger(d); err != nil {
 		return err
 	}
-	if x.log, err = figpier.FindLog(d); err != nil {
+	if x.log, err = figpier.FindReplicatedLog(d); err != nil {
 		return err
 	}
 	x.messenger.Handle(figpier.MethodMembers, x.handlePoll)
@@ -104,12 +106,12 @@
 	}
 }
 
-// Places implements figpier.Exchange.
-func (x *Exchange) Places() []figpier.ControlPlace {
+// Controls implements figpier.Exchange.
+func (x *Exchange) Controls() []figpier.ControlPlace {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	all := []figpier.ControlPlace{x.config.Place}
-	for _, p := range x.places {
+	for _, p := range x.controls {
 		all = append(all, p)
 	}
 	slices.SortFunc(all, func(a, b figpier.ControlPlace) int { return strings.Compare(a.Address(), b.Address()) })
@@ -142,19 +144,19 @@
 func (x *Exchange) recordPlace(address string, a *message.MembersAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.places[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
+	x.controls[address] = figpier.NewControlPlace(figpier.ControlPlaceConfig{
 		Address:    address,
 		DataCentre: figpier.DataCentre(a.DataCentre),
 		Region:     figpier.Region(a.Region),
 	})
 }
 
-// drop removes a control instance's place and the members learnt from it.
+// drop removes a control instance and the members learnt from it.
 func (x *Exchange) drop(address string) {
-	x.registry.Drop(figpier.InstanceID(address))
+	x.registry.RemoveSource(figpier.InstanceID(address))
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.places, address)
+	delete(x.controls, address)
 }
 
 // follow polls another control instance and merges its members into the registry. It drops them after Silence without an answer, and when ctx ends.
@@ -184,7 +186,7 @@
 	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AskTimeout)
 	defer cancel()
 	a := &message.MembersAnswer{}
-	if err := x.messenger.Ask(bounded, address, figpier.MethodMembers, known, a); err != nil {
+	if err := x.messenger.Request(bounded, address, figpier.MethodMembers, known, a); err != nil {
 		return nil, err
 	}
 	return a, nil
--- a/internal/control/members/registry.go
+++ b/internal/control/members/registry.go
@@ -12,7 +12,7 @@
 // idLength is the length in letters of a registry's ID: 60 random bits. Every poll carries one, so it is kept short.
 const idLength = 12
 
-// Bounds on the members that Polling counts.
+// Bounds on the members that CountPolling counts.
 const (
 	// pollingTimeout is how long after its last poll a member is still counted. It covers two polls; a member that is
 	// silent for longer may be polling another control instance.
@@ -101,8 +101,8 @@
 	return len(r.overall.members)
 }
 
-// Polling implements figpier.Registry.
-func (r *Registry) Polling(now time.Time) (local, all int) {
+// CountPolling implements figpier.Registry.
+func (r *Registry) CountPolling(now time.Time) (local, all int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.leases {
@@ -153,8 +153,8 @@
 	_ = r.control.Post(mergeEvent{source: source, delta: d, full: full})
 }
 
-// Drop implements figpier.Registry.
-func (r *Registry) Drop(source figpier.InstanceID) {
+// RemoveSource implements figpier.Registry.
+func (r *Registry) RemoveSource(source figpier.InstanceID) {
 	_ = r.control.Post(mergeEvent{source: source, full: true})
 }
 
@@ -224,7 +224,7 @@
 		members[m.Instance()] = m
 		affected[m.Instance()] = struct{}{}
 	}
-	for _, id := range e.delta.Gone() {
+	for _, id := range e.delta.Removed() {
 		delete(members, id)
 		affected[id] = struct{}{}
 	}
--- a/internal/control/members/registry_test.go
+++ b/internal/control/members/registry_test.go
@@ -37,12 +37,12 @@
 	r.HandleEvent(now, mergeEvent{source: "c2", delta: other, full: true})
 	r.HandleEvent(now.Add(3*time.Second), leaseEndEvent{instance: "b1"})
 	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{"b1"})
-	assert.Equal(t, len(r.Since(before).Gone()), 0)
+	assert.Equal(t, len(r.Since(before).Removed()), 0)
 	assert.DeepEqual(t, instanceNames(r.LocalSince(0)), []string{})
 
 	r.HandleEvent(now, mergeEvent{source: "c2", full: true})
 	assert.DeepEqual(t, instanceNames(r.Since(0)), []string{})
-	assert.Equal(t, len(r.Since(before).Gone()), 1)
+	assert.Equal(t, len(r.Since(before).Removed()), 1)
 }
 
 func TestRenewalExtendsTheLease(t *testing.T) {
@@ -68,11 +68,11 @@
 			polled, elsewhere = joined, at-moves+100*time.Millisecond
 		}
 		polled.HandleEvent(now, announceEvent{member: member("b1", 1), elsewhere: elsewhere})
-		before, _ := left.Polling(now)
-		after, _ := joined.Polling(now)
+		before, _ := left.CountPolling(now)
+		after, _ := joined.CountPolling(now)
 		assert.Assert(t, before+after <= 1, "%v: %d and %d", at, before, after)
 	}
-	counted, _ := joined.Polling(start.Add(10 * time.Second))
+	counted, _ := joined.CountPolling(start.Add(10 * time.Second))
 	assert.Equal(t, counted, 1)
 }
 
@@ -82,7 +82,7 @@
 	now := time.Unix(0, 0)
 	r.HandleEvent(now, announceEvent{member: member("b1", 1), elsewhere: minPollingTime - time.Millisecond})
 	r.HandleEvent(now, announceEvent{member: member("b2", 1), elsewhere: minPollingTime})
-	counted, _ := r.Polling(now)
+	counted, _ := r.CountPolling(now)
 	assert.Equal(t, counted, 1)
 }
 
@@ -92,11 +92,11 @@
 	now := time.Unix(0, 0)
 	r.HandleEvent(now, announceEvent{member: member("b1", 1)})
 	r.HandleEvent(now, announceEvent{member: member("b2", 1)})
-	_, all := r.Polling(now)
+	_, all := r.CountPolling(now)
 	assert.Equal(t, all, 2)
 	r.HandleEvent(now.Add(4*time.Second), leaseEndEvent{instance: "b1"})
-	_, all = r.Polling(now.Add(4 * time.Second))
+	_, all = r.CountPolling(now.Add(4 * time.Second))
 	assert.Equal(t, all, 2)
-	_, all = r.Polling(now.Add(time.Minute))
+	_, all = r.CountPolling(now.Add(time.Minute))
 	assert.Equal(t, all, 1)
 }
--- a/internal/control/members/table.go
+++ b/internal/control/members/table.go
@@ -68,10 +68,10 @@
 	}
 	for id, v := range t.removedAt {
 		if v > version {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		}
 	}
 	slices.SortFunc(d.Members, func(a, b *figpier.Member) int { return cmp.Compare(a.Instance(), b.Instance()) })
-	slices.Sort(d.Gone)
+	slices.Sort(d.Removed)
 	return figpier.NewMemberDelta(d)
 }
--- a/internal/control/operator/node.go
+++ b/internal/control/operator/node.go
@@ -36,7 +36,7 @@
 	bounded, cancel := context.WithTimeout(ctx, viewNodeTimeout)
 	defer cancel()
 	var e message.Explanation
-	if err := r.messenger.Ask(bounded, m.MessageAddress(), figpier.MethodExplain, struct{}{}, &e); err != nil {
+	if err := r.messenger.Request(bounded, m.MessageAddress(), figpier.MethodExplain, struct{}{}, &e); err != nil {
 		return nil, &NodeUnreachableError{instance: i, cause: err}
 	}
 	view := &api.NodeView{
--- a/internal/control/operator/node_test.go
+++ b/internal/control/operator/node_test.go
@@ -28,8 +28,8 @@
 func (fakeRegistry) Settled(time.Time) bool                  { return true }
 func (fakeRegistry) Count() int                              { return 1 }
 
-func (fakeRegistry) Polling(time.Time) (local, all int) { return 1, 1 }
-func (fakeRegistry) Drop(figpier.InstanceID)            {}
+func (fakeRegistry) CountPolling(time.Time) (local, all int) { return 1, 1 }
+func (fakeRegistry) RemoveSource(figpier.InstanceID)         {}
 
 func (fakeRegistry) Merge(figpier.InstanceID, figpier.MemberDelta, bool) {}
 
@@ -49,7 +49,7 @@
 func (*fakeMessenger) Name() figpier.ServiceName                     { return figpier.MessengerService }
 func (*fakeMessenger) Handle(figpier.Method, figpier.MessageHandler) {}
 
-func (m *fakeMessenger) Ask(_ context.Context, address string, method figpier.Method, _, answer any) error {
+func (m *fakeMessenger) Request(_ context.Context, address string, method figpier.Method, _, answer any) error {
 	if address != "127.0.0.1:7001" || method != figpier.MethodExplain {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/control/operator/reader.go
+++ b/internal/control/operator/reader.go
@@ -27,7 +27,7 @@
 
 func newReader(i figpier.InstanceID, c figpier.Catalog, d figpier.Directory) *reader {
 	r := &reader{instance: i, catalog: c, clock: d.Clock()}
-	if log, err := figpier.FindLog(d); err == nil {
+	if log, err := figpier.FindReplicatedLog(d); err == nil {
 		r.log = log
 	}
 	if registry, err := figpier.FindRegistry(d); err == nil {
--- a/internal/control/pool/pool.go
+++ b/internal/control/pool/pool.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	now := p.clock.Now()
-	polling, all := p.registry.Polling(now)
+	polling, all := p.registry.CountPolling(now)
 	if polling == 0 || m.Nodes == 0 && !p.registry.Settled(now) && now.Sub(p.startedAt) < registrationTime {
 		return message.PoolAnswer{Idle: true}, nil
 	}
--- a/internal/control/pool/pool_test.go
+++ b/internal/control/pool/pool_test.go
@@ -61,7 +61,9 @@
 func (i fakeServices) Start(context.Context, figpier.Directory) error  { return nil }
 func (i fakeServices) Stop(context.Context) error                      { return nil }
 func (i fakeServices) Settled(time.Time) bool                          { return true }
-func (i fakeServices) Polling(time.Time) (local, all int)              { return nodes / len(i.all.pools), nodes }
+func (i fakeServices) CountPolling(time.Time) (local, all int) {
+	return nodes / len(i.all.pools), nodes
+}
 
 func (i fakeServices) Configuration() *figpier.Configuration {
 	account := figpier.NewAccount(figpier.AccountConfig{Customer: customer, Limit: i.all.limit})
@@ -69,7 +71,7 @@
 	return figpier.NewConfiguration(figpier.ConfigurationConfig{Table: table})
 }
 
-func (i fakeServices) Places() []figpier.ControlPlace {
+func (i fakeServices) Controls() []figpier.ControlPlace {
 	var all []figpier.ControlPlace
 	for a := range i.all.pools {
 		all = append(all, figpier.NewControlPlace(figpier.ControlPlaceConfig{Address: a}))
@@ -77,7 +79,7 @@
 	return all
 }
 
-func (i fakeServices) Ask(ctx context.Context, address string, _ figpier.Method, ask, answer any) error {
+func (i fakeServices) Request(ctx context.Context, address string, _ figpier.Method, ask, answer any) error {
 	a, err := i.all.pools[address].handleTransfer(ctx, func(m any) error {
 		*m.(*message.TransferAsk) = ask.(message.TransferAsk)
 		return nil
--- a/internal/control/pool/transfer.go
+++ b/internal/control/pool/transfer.go
@@ -34,7 +34,7 @@
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	var a message.TransferAnswer
-	err := p.messenger.Ask(bounded, address, figpier.MethodTransfer, message.TransferAsk{Customer: string(c)}, &a)
+	err := p.messenger.Request(bounded, address, figpier.MethodTransfer, message.TransferAsk{Customer: string(c)}, &a)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.shortages[c]
@@ -53,7 +53,7 @@
 // nextDonor returns the address of a control instance to ask for a customer's tokens and marks the transfer as in progress. It returns false if one already is, or if all were asked within transferPause.
 func (p *Pool) nextDonor(c figpier.CustomerID) (address string, ok bool) {
 	now := p.clock.Now()
-	places := p.exchange.Places()
+	controls := p.exchange.Controls()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, known := p.shortages[c]
@@ -64,11 +64,11 @@
 	if s.inProgress {
 		return "", false
 	}
-	for _, place := range places {
-		at, asked := s.lastEmpty[place.Address()]
-		if place.Address() != p.config.Address && (!asked || now.Sub(at) >= transferPause) {
+	for _, control := range controls {
+		at, asked := s.lastEmpty[control.Address()]
+		if control.Address() != p.config.Address && (!asked || now.Sub(at) >= transferPause) {
 			s.inProgress = true
-			return place.Address(), true
+			return control.Address(), true
 		}
 	}
 	return "", false
@@ -86,7 +86,7 @@
 	if !ok || !p.registry.Settled(now) {
 		return message.TransferAnswer{}, nil
 	}
-	polling, all := p.registry.Polling(now)
+	polling, all := p.registry.CountPolling(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return message.TransferAnswer{Tokens: p.quotas.Spare(now, c, limit, p.quotas.PoolShare(limit, polling, all))}, nil
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -85,7 +85,7 @@
 	e.network.handlers[e.address][m] = h
 }
 
-func (e *endpoint) Ask(ctx context.Context, address string, m figpier.Method, message, answer any) error {
+func (e *endpoint) Request(ctx context.Context, address string, m figpier.Method, message, answer any) error {
 	e.network.mu.Lock()
 	h, ok := e.network.handlers[address][m]
 	e.network.mu.Unlock()
@@ -159,7 +159,7 @@
 func (i *instance) start() {
 	i.log = New(Config{Instance: i.name, Address: string(i.name), DataFolder: i.folder, Peers: i.cluster.peers})
 	i.catalog = catalog.New()
-	i.log.Drive(i.catalog)
+	i.log.SetStateMachine(i.catalog)
 	k := registry.New(registry.Config{Clock: system.Clock{}})
 	assert.NilError(i.cluster.t, k.Register(&endpoint{network: i.cluster.network, address: string(i.name)}))
 	assert.NilError(i.cluster.t, k.Register(i.log))
--- a/internal/control/replica/remote.go
+++ b/internal/control/replica/remote.go
@@ -112,7 +112,7 @@
 		Proposal: id,
 		Command:  base64.StdEncoding.EncodeToString(command),
 	}
-	f.err = l.messenger.Ask(ctx, address, figpier.MethodPropose, w, &f.verdict)
+	f.err = l.messenger.Request(ctx, address, figpier.MethodPropose, w, &f.verdict)
 	_ = l.control.Post(f)
 }
 
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
 	var s message.ReplicaStatus
-	if err := l.messenger.Ask(ctx, address, figpier.MethodProbe, message.ReplicaProbe{}, &s); err != nil {
+	if err := l.messenger.Request(ctx, address, figpier.MethodProbe, message.ReplicaProbe{}, &s); err != nil {
 		return peerStatus{}, err
 	}
 	return peerStatus{
@@ -137,7 +137,7 @@
 	ctx, cancel := context.WithTimeout(l.runContext, requestTimeout)
 	defer cancel()
 	var v message.ReplicaVerdict
-	err := l.messenger.Ask(ctx, address, figpier.MethodJoin, codec.FromReplicaMember(m), &v)
+	err := l.messenger.Request(ctx, address, figpier.MethodJoin, codec.FromReplicaMember(m), &v)
 	if err == nil && !v.Taken {
 		l.log.WithField("detail", v.Detail).Warn("the leader refused to add this instance to the replicated log")
 	}
--- a/internal/control/replica/sender.go
+++ b/internal/control/replica/sender.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 	defer cancel()
 	var received message.ReplicaReceived
-	_ = s.messenger.Ask(ctx, m.Address(), figpier.MethodReplica, codec.FromReplicaMessage(m), &received)
+	_ = s.messenger.Request(ctx, m.Address(), figpier.MethodReplica, codec.FromReplicaMessage(m), &received)
 }
 
 // acquire counts a message to an address, and returns false when too many are unanswered.
--- a/internal/control/replica/service.go
+++ b/internal/control/replica/service.go
@@ -147,8 +147,8 @@
 // Name implements figpier.Service.
 func (l *Log) Name() figpier.ServiceName { return figpier.ReplicaService }
 
-// Drive implements figpier.ReplicatedLog.
-func (l *Log) Drive(m figpier.StateMachine) { l.stateMachine = m }
+// SetStateMachine implements figpier.ReplicatedLog.
+func (l *Log) SetStateMachine(m figpier.StateMachine) { l.stateMachine = m }
 
 // Start implements figpier.Service; it fails if the data folder is damaged, locked or belongs to another instance.
 func (l *Log) Start(ctx context.Context, d figpier.Directory) error {
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -80,7 +80,7 @@
 	s.ctx = ctx
 	s.control = d.Control()
 	s.clock = d.Clock()
-	if s.log, err = figpier.FindLog(d); err != nil {
+	if s.log, err = figpier.FindReplicatedLog(d); err != nil {
 		return err
 	}
 	m, err := figpier.FindMessenger(d)
--- a/internal/control/subscription/server.go
+++ b/internal/control/subscription/server.go
@@ -42,7 +42,7 @@
 	if s.catalog, err = figpier.FindCatalog(d); err != nil {
 		return err
 	}
-	if s.log, err = figpier.FindLog(d); err != nil {
+	if s.log, err = figpier.FindReplicatedLog(d); err != nil {
 		return err
 	}
 	if s.registry, err = figpier.FindRegistry(d); err != nil {
@@ -149,7 +149,7 @@
 		Nodes:           s.registry.Count(),
 		Controls:        []message.ControlPlace{},
 	}
-	for _, c := range s.exchange.Places() {
+	for _, c := range s.exchange.Controls() {
 		a.Controls = append(a.Controls, message.ControlPlace{
 			Address:    c.Address(),
 			DataCentre: string(c.DataCentre()),
--- a/internal/host/logs/request.go
+++ b/internal/host/logs/request.go
@@ -41,7 +41,7 @@
 }
 
 // Name implements figpier.Service.
-func (q *Requests) Name() figpier.ServiceName { return figpier.LogService }
+func (q *Requests) Name() figpier.ServiceName { return figpier.RequestLogService }
 
 // Start implements figpier.Service.
 func (q *Requests) Start(_ context.Context, d figpier.Directory) error {
--- a/internal/host/metrics/documents_test.go
+++ b/internal/host/metrics/documents_test.go
@@ -41,7 +41,7 @@
 		if k.NotRun() {
 			notRun = "yes"
 		}
-		fmt.Fprintf(want, "| `%s` | %d | %s | %s | `%s` |\n", k.Reason(), k.Status(), notRun, k.Text(), RefusalCounter(k.Reason()))
+		fmt.Fprintf(want, "| `%s` | %d | %s | %s | `%s` |\n", k.Reason(), k.Status(), notRun, k.Explanation(), RefusalCounter(k.Reason()))
 	}
 	got := pageRows(t, "## Refusals", "## Retries")
 	assert.Equal(t, got, want.String(), "the rows of docs/REFUSALS.md should be:\n%s", want)
--- a/internal/host/process/control.go
+++ b/internal/host/process/control.go
@@ -56,7 +56,7 @@
 		Backups:    shardBackups,
 		Log:        l,
 	})
-	log.Drive(machines.New(machines.Config{Catalog: states, Shards: assigner}))
+	log.SetStateMachine(machines.New(machines.Config{Catalog: states, Shards: assigner}))
 	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
 		jsonrpc.New(messengerConfig(s, security)),
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -176,7 +176,7 @@
 		Log:        l,
 	})
 	states := catalog.New()
-	log.Drive(states)
+	log.SetStateMachine(states)
 	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics()}),
 		seeds.New(seeds.Config{Path: s.Path(), Seeds: c.Seeds, Read: seedAddresses, Log: l}),
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -94,7 +94,7 @@
 		cutoffs.New(),
 		p.Admission,
 		p.Router,
-		p.Judge,
+		p.Decider,
 		explanation.New(),
 		gate.New(gate.Config{Service: service}),
 		runner.New(),
--- a/internal/host/process/policy.go
+++ b/internal/host/process/policy.go
@@ -17,8 +17,8 @@
 	Admission figpier.Admission
 	// Router picks the member to which an exit call is sent.
 	Router figpier.Router
-	// Judge decides whether a failed attempt is retried.
-	Judge figpier.RetryJudge
+	// Decider decides whether a failed attempt is retried.
+	Decider figpier.RetryDecider
 }
 
 // Adaptive returns the policies that a node runs with by default.
@@ -30,7 +30,7 @@
 			Region:     figpier.Region(s.Region()),
 			Seed:       xxh3.HashString(s.Instance()),
 		}),
-		Judge: retry.New(),
+		Decider: retry.New(),
 	}
 }
 
@@ -40,7 +40,7 @@
 	return PolicyConfig{
 		Admission: fixed.NewAdmission(1),
 		Router:    fixed.NewRouter(),
-		Judge:     fixed.NewPlainJudge(),
+		Decider:   fixed.NewUnbudgetedDecider(),
 	}
 }
 
@@ -49,6 +49,6 @@
 	return PolicyConfig{
 		Admission: fixed.NewOpenAdmission(),
 		Router:    fixed.NewRouter(),
-		Judge:     fixed.NewPlainJudge(),
+		Decider:   fixed.NewUnbudgetedDecider(),
 	}
 }
--- a/internal/link/jsonrpc/messenger.go
+++ b/internal/link/jsonrpc/messenger.go
@@ -170,10 +170,10 @@
 	return answer, nil
 }
 
-// Ask implements figpier.Messenger. After a timeout or a failure of the connection it closes the connection, so that the
+// Request implements figpier.Messenger. After a timeout or a failure of the connection it closes the connection, so that the
 // next request opens a new one; it keeps it if the caller cancelled the request or the other process answered with an
 // error.
-func (m *Messenger) Ask(ctx context.Context, address string, method figpier.Method, message, answer any) error {
+func (m *Messenger) Request(ctx context.Context, address string, method figpier.Method, message, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
 		c, cancel := context.WithTimeout(ctx, m.config.AskTimeout)
 		defer cancel()
--- a/internal/link/web/pass.go
+++ b/internal/link/web/pass.go
@@ -60,7 +60,7 @@
 	notRun := h.Get(figpier.HeaderNotRun) == figpier.NotRunMark
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalReason(reason),
-		RanSomewhere: !notRun,
+		MayHaveRun:   !notRun,
 		ProvenNotRun: notRun,
 	}
 	if ms, err := strconv.Atoi(h.Get(headerRetryAfterMillis)); err == nil {
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -127,7 +127,7 @@
 	c.lastRelease = now
 	switch o.Kind() {
 	case figpier.OutcomeDone:
-		c.limit.observe(o.Own())
+		c.limit.observe(o.OwnElapsed())
 	case figpier.OutcomeOverloaded:
 		c.limit.rejected = true
 	default:
--- a/internal/policy/cutoff/cutoff.go
+++ b/internal/policy/cutoff/cutoff.go
@@ -85,8 +85,8 @@
 // New returns a table without cut-offs.
 func New() *Table { return &Table{routes: map[Route]*recentAnswers{}} }
 
-// Learn records the cut-off that an answer reported, figpier.MaxRank for none.
-func (t *Table) Learn(now time.Time, r Route, cutOff figpier.Rank) {
+// Record records the cut-off that an answer reported, figpier.MaxRank for none.
+func (t *Table) Record(now time.Time, r Route, cutOff figpier.Rank) {
 	t.sweep(now)
 	a, ok := t.routes[r]
 	if !ok {
--- a/internal/policy/cutoff/cutoff_test.go
+++ b/internal/policy/cutoff/cutoff_test.go
@@ -51,7 +51,7 @@
 			r := rapid.SampledFrom(routes).Draw(t, "route")
 			if rapid.Bool().Draw(t, "learn") {
 				cut := figpier.Rank(rapid.Uint32Range(0, 1<<30).Draw(t, "rank"))
-				table.Learn(now, r, cut)
+				table.Record(now, r, cut)
 				all = append(all, learned{at: now, route: r, rank: cut})
 				continue
 			}
@@ -63,14 +63,14 @@
 func TestRouteIsNotRefusedAfterAnswerWithoutCutOff(t *testing.T) {
 	table, now, r := New(), time.Unix(0, 0), NewRoute("roster", "GET /*")
 	for range answersPerRoute {
-		table.Learn(now, r, 10)
+		table.Record(now, r, 10)
 	}
 	assert.Equal(t, table.CutOff(now, r), figpier.Rank(10))
 	table.Each(now, func(got Route, _ figpier.Rank, since time.Time) {
 		assert.Equal(t, got, r)
 		assert.Equal(t, since, now)
 	})
-	table.Learn(now, r, figpier.MaxRank)
+	table.Record(now, r, figpier.MaxRank)
 	assert.Equal(t, table.CutOff(now, r), figpier.MaxRank)
 	assert.Equal(t, table.CutOff(now, NewRoute("roster", "GET /x")), figpier.MaxRank)
 }
--- a/internal/policy/retry/judge.go
+++ b/internal/policy/retry/decider.go
@@ -38,8 +38,8 @@
 // Service returns the service.
 func (p Pair) Service() figpier.UpstreamService { return p.service }
 
-// Judge decides whether attempts are retried. It is not safe for concurrent use.
-type Judge struct {
+// Decider decides whether attempts are retried. It is not safe for concurrent use.
+type Decider struct {
 	credits   map[Pair]*credit
 	services  map[figpier.UpstreamService]*attemptStats
 	lastSweep time.Time
@@ -58,18 +58,18 @@
 	updated              time.Time
 }
 
-// New returns a judge without attempts.
-func New() *Judge {
-	return &Judge{credits: map[Pair]*credit{}, services: map[figpier.UpstreamService]*attemptStats{}}
+// New returns a decider without attempts.
+func New() *Decider {
+	return &Decider{credits: map[Pair]*credit{}, services: map[figpier.UpstreamService]*attemptStats{}}
 }
 
-// First records a first attempt. share is the number of retries that it earns.
-func (j *Judge) First(now time.Time, p Pair, share float64) {
-	j.sweep(now)
-	c := j.creditOf(p)
+// CountFirstAttempt records a first attempt. share is the number of retries that it earns.
+func (d *Decider) CountFirstAttempt(now time.Time, p Pair, share float64) {
+	d.sweep(now)
+	c := d.creditOf(p)
 	c.balance = min(maxCredit, c.balance+share)
 	c.lastUsed = now
-	j.statsOf(now, p.service).attempts++
+	d.statsOf(now, p.service).attempts++
 }
 
 // AttemptConfig holds the arguments of NewAttempt.
@@ -92,13 +92,13 @@
 // NewAttempt returns an immutable attempt.
 func NewAttempt(c AttemptConfig) Attempt { return Attempt{config: c} }
 
-// Again reports whether an attempt is to be retried, and the reason for the decision. It calls take(1) to take the retry
+// MayRetry reports whether an attempt is to be retried, and the reason for the decision. It calls take(1) to take the retry
 // from the budget of the call tree, which returns 0 if none is left.
-func (j *Judge) Again(now time.Time, a Attempt, take func(n int) int) (bool, figpier.RetryReason) {
+func (d *Decider) MayRetry(now time.Time, a Attempt, take func(n int) int) (bool, figpier.RetryReason) {
 	c := a.config
-	j.creditOf(c.Pair).lastUsed = now
+	d.creditOf(c.Pair).lastUsed = now
 	if c.Kind == figpier.OutcomeOverloaded {
-		j.statsOf(now, c.Pair.service).overloaded++
+		d.statsOf(now, c.Pair.service).overloaded++
 	}
 	reason, safe := reasonFor(c.Kind, c.Idempotent)
 	switch {
@@ -106,20 +106,20 @@
 		return false, reason
 	case !now.Before(c.Deadline):
 		return false, figpier.NoRetryDeadline
-	case c.Kind == figpier.OutcomeOverloaded && j.Overloaded(now, c.Pair.service):
+	case c.Kind == figpier.OutcomeOverloaded && d.Overloaded(now, c.Pair.service):
 		return false, figpier.NoRetryOverload
-	case j.creditOf(c.Pair).balance < 1:
+	case d.creditOf(c.Pair).balance < 1:
 		return false, figpier.NoRetryShare
 	case take(1) == 0:
 		return false, figpier.NoRetryBudget
 	}
-	j.creditOf(c.Pair).balance--
+	d.creditOf(c.Pair).balance--
 	return true, reason
 }
 
 // Overloaded reports whether a service as a whole, and not only one of its members, refuses calls because of overload.
-func (j *Judge) Overloaded(now time.Time, s figpier.UpstreamService) bool {
-	stats := j.statsOf(now, s)
+func (d *Decider) Overloaded(now time.Time, s figpier.UpstreamService) bool {
+	stats := d.statsOf(now, s)
 	return stats.attempts >= minOverloadAttempts && stats.overloaded > maxOverloadedFraction*stats.attempts
 }
 
@@ -143,21 +143,21 @@
 }
 
 // creditOf returns the credit of a pair, which starts at maxCredit.
-func (j *Judge) creditOf(p Pair) *credit {
-	c, ok := j.credits[p]
+func (d *Decider) creditOf(p Pair) *credit {
+	c, ok := d.credits[p]
 	if !ok {
 		c = &credit{balance: maxCredit}
-		j.credits[p] = c
+		d.credits[p] = c
 	}
 	return c
 }
 
 // statsOf returns the statistics of a service, decayed to the given time.
-func (j *Judge) statsOf(now time.Time, s figpier.UpstreamService) *attemptStats {
-	stats, ok := j.services[s]
+func (d *Decider) statsOf(now time.Time, s figpier.UpstreamService) *attemptStats {
+	stats, ok := d.services[s]
 	if !ok {
 		stats = &attemptStats{updated: now}
-		j.services[s] = stats
+		d.services[s] = stats
 	}
 	if age := now.Sub(stats.updated); age > 0 {
 		decay := math.Exp(-age.Seconds() / overloadWindow.Seconds())
@@ -169,14 +169,14 @@
 }
 
 // sweep removes expired credit, at most once in sweepInterval.
-func (j *Judge) sweep(now time.Time) {
-	if now.Sub(j.lastSweep) < sweepInterval {
+func (d *Decider) sweep(now time.Time) {
+	if now.Sub(d.lastSweep) < sweepInterval {
 		return
 	}
-	j.lastSweep = now
-	for p, c := range j.credits {
+	d.lastSweep = now
+	for p, c := range d.credits {
 		if now.Sub(c.lastUsed) > creditExpiry {
-			delete(j.credits, p)
+			delete(d.credits, p)
 		}
 	}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -79,21 +79,21 @@
 func TestRetryShareMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share = 0.25
-		j, now := New(), time.Unix(0, 0)
+		d, now := New(), time.Unix(0, 0)
 		var all []attemptEvent
 		firsts, retries := map[Pair]int{}, map[Pair]int{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Millisecond)
 			p := NewPair(figpier.CustomerID(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "customer"))), "booking")
 			if rapid.IntRange(0, 2).Draw(t, "event") > 0 {
-				j.First(now, p, share)
+				d.CountFirstAttempt(now, p, share)
 				firsts[p]++
 				all = append(all, attemptEvent{pair: p, first: true})
 				continue
 			}
 			b := NewBudget(1)
 			a := NewAttempt(AttemptConfig{Pair: p, Kind: figpier.OutcomeUnreached, Deadline: now.Add(time.Second)})
-			ok, _ := j.Again(now, a, b.Take)
+			ok, _ := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, modelCredit(all, p, share) >= 1)
 			if ok {
 				retries[p]++
@@ -130,19 +130,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j, p, b := New(), NewPair("c", "booking"), NewBudget(c.budget)
+			d, p, b := New(), NewPair("c", "booking"), NewBudget(c.budget)
 			for range 20 {
-				j.First(now, p, 0.1)
+				d.CountFirstAttempt(now, p, 0.1)
 			}
 			if c.whole {
-				j.statsOf(now, "booking").overloaded = 10
+				d.statsOf(now, "booking").overloaded = 10
 			}
 			deadline := now.Add(time.Second)
 			if c.late {
 				deadline = now
 			}
 			a := NewAttempt(AttemptConfig{Pair: p, Kind: c.kind, Idempotent: c.idempotent, Deadline: deadline})
-			ok, reason := j.Again(now, a, b.Take)
+			ok, reason := d.MayRetry(now, a, b.Take)
 			assert.Equal(t, ok, c.again)
 			assert.Equal(t, reason, c.want)
 		})
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -100,8 +100,8 @@
 	return a.controller.CutOff(now)
 }
 
-// Resize implements figpier.Admission.
-func (a *Admission) Resize(slots int) {
+// SetSlots implements figpier.Admission.
+func (a *Admission) SetSlots(slots int) {
 	now := a.clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -51,7 +51,7 @@
 
 func TestSlotsAreFreedWhenCallersStopWaiting(t *testing.T) {
 	a, _ := startAdmission(t)
-	a.Resize(4)
+	a.SetSlots(4)
 	var callers sync.WaitGroup
 	for i := range 200 {
 		callers.Go(func() {
@@ -72,7 +72,7 @@
 func TestFreedSlotGoesToTheWaitingCallWithLowestRank(t *testing.T) {
 	a, _ := startAdmission(t)
 	a.controller = policy.New(policy.Config{QueueTime: time.Minute})
-	a.Resize(1)
+	a.SetSlots(1)
 	first, err := a.Admit(t.Context(), callOf(1))
 	assert.NilError(t, err)
 	outcomes := make(chan figpier.Rank, 2)
@@ -97,9 +97,9 @@
 	a, table := startAdmission(t)
 	_, err := a.Admit(t.Context(), callOf(1))
 	assert.Equal(t, reasonOf(t, err), figpier.RefusalNoBackend)
-	a.Resize(1)
+	a.SetSlots(1)
 	for range 4 {
-		table.Learn(callOf(1), 5)
+		table.Record(callOf(1), 5)
 	}
 	_, err = a.Admit(t.Context(), callOf(5))
 	assert.Equal(t, reasonOf(t, err), figpier.RefusalCutOff)
--- a/internal/traffic/backend/announce.go
+++ b/internal/traffic/backend/announce.go
@@ -81,11 +81,11 @@
 // Target implements figpier.Event.
 func (leaveRequested) Target() figpier.ServiceName { return figpier.BackendService }
 
-// closeRequested makes the node refuse all new work; done is closed once that is published.
-type closeRequested struct{ done chan struct{} }
+// refuseCallsRequested makes the node refuse all new work; done is closed once that is published.
+type refuseCallsRequested struct{ done chan struct{} }
 
 // Target implements figpier.Event.
-func (closeRequested) Target() figpier.ServiceName { return figpier.BackendService }
+func (refuseCallsRequested) Target() figpier.ServiceName { return figpier.BackendService }
 
 // announcementExpired is posted when an announcement may have expired.
 type announcementExpired struct{}
@@ -104,7 +104,7 @@
 		s.state.backend.drained = s.state.draining
 	case leaveRequested:
 		s.state.leaving = true
-	case closeRequested:
+	case refuseCallsRequested:
 		s.state.closed = true
 		defer close(e.done)
 	case announcementExpired:
@@ -112,7 +112,7 @@
 			return
 		}
 		s.state.backend = backendState{}
-		s.admission.Resize(0)
+		s.admission.SetSlots(0)
 	}
 	s.publish()
 }
@@ -122,7 +122,7 @@
 	a := &s.state.backend
 	if a.address != e.address || s.state.incarnation != e.incarnation {
 		s.cancelDrain()
-		s.admission.Resize(0)
+		s.admission.SetSlots(0)
 	}
 	s.state.incarnation = e.incarnation
 	a.address = e.address
@@ -132,7 +132,7 @@
 		s.state.cancelExpiry()
 	}
 	s.state.cancelExpiry = s.control.PostAfter(s.config.Announcement, announcementExpired{})
-	s.admission.Resize(e.slots)
+	s.admission.SetSlots(e.slots)
 }
 
 // startDrain announces the drain to other nodes at once, and refuses new work once the notice is over.
@@ -193,10 +193,10 @@
 	return a != nil && a.leaving
 }
 
-// Close implements figpier.Backend; it returns once the control thread has published the change.
-func (s *Server) Close() {
+// RefuseCalls implements figpier.Backend; it returns once the control thread has published the change.
+func (s *Server) RefuseCalls() {
 	done := make(chan struct{})
-	if err := s.control.Post(closeRequested{done: done}); err == nil {
+	if err := s.control.Post(refuseCallsRequested{done: done}); err == nil {
 		<-done
 	}
 }
--- a/internal/traffic/backend/serve.go
+++ b/internal/traffic/backend/serve.go
@@ -26,8 +26,8 @@
 	kind := figpier.OutcomeFailed
 	defer func() {
 		elapsed := s.clock.Now().Sub(began)
-		run.End(figpier.NewOutcome(kind, elapsed).WithBelow(live.Below()))
-		s.cutOffs.Learn(c, live.CutOff())
+		run.End(figpier.NewOutcome(kind, elapsed).WithDownstream(live.DownstreamTime()))
+		s.cutOffs.Record(c, live.CutOff())
 		s.counters.Observe("backend", elapsed)
 	}()
 	out, attempt := web.Outgoing(run.Context(), r, run.Address(), r.Body, r.ContentLength)
@@ -89,7 +89,7 @@
 	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusTooManyRequests {
 		return figpier.OutcomeDone
 	}
-	if l.SealExits() > 0 {
+	if l.RefuseExits() > 0 {
 		return figpier.OutcomeDone
 	}
 	w.Header().Set(figpier.HeaderNotRun, figpier.NotRunMark)
@@ -136,7 +136,7 @@
 	unreached := kind == figpier.OutcomeUnreached
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalBackendFailed,
-		RanSomewhere: !unreached,
+		MayHaveRun:   !unreached,
 		ProvenNotRun: unreached,
 		Detail:       err.Error(),
 	}
--- a/internal/traffic/claims/claims.go
+++ b/internal/traffic/claims/claims.go
@@ -153,12 +153,12 @@
 	askCtx, cancel := context.WithTimeout(a.claims.runCtx, askTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
-	if err := a.claims.messenger.Ask(askCtx, address, method, m, answer); err != nil {
-		a.claims.locator.Forget(id, address)
+	if err := a.claims.messenger.Request(askCtx, address, method, m, answer); err != nil {
+		a.claims.locator.Invalidate(id, address)
 		return false
 	}
 	if !isActing(answer) {
-		a.claims.locator.Forget(id, address)
+		a.claims.locator.Invalidate(id, address)
 	}
 	return true
 }
--- a/internal/traffic/control/state.go
+++ b/internal/traffic/control/state.go
@@ -29,8 +29,8 @@
 	nodes int
 	// control is the message address of the control instance that answered last.
 	control string
-	// polled is when the poll was sent that this answer belongs to.
-	polled time.Time
+	// pollSentAt is when the poll was sent that this answer belongs to.
+	pollSentAt time.Time
 	// controls are the control instances listed in the last answer.
 	controls []figpier.ControlPlace
 	// confirmed is the latest time at which the configuration is known to have been the accepted one.
@@ -72,7 +72,7 @@
 // applyAnswer applies an answer and reports whether it brought a newer configuration. An answer with a lower revision
 // neither replaces the configuration nor confirms it.
 func (s *state) applyAnswer(a *pollAnswered) (newer bool) {
-	s.control, s.polled = a.control, a.sent
+	s.control, s.pollSentAt = a.control, a.sent
 	next, ok := s.nextConfiguration(a.answer)
 	if !ok {
 		return false
--- a/internal/traffic/control/view.go
+++ b/internal/traffic/control/view.go
@@ -134,8 +134,8 @@
 // Nodes implements figpier.ConfigurationView.
 func (v *View) Nodes() int { return v.published.Load().nodes }
 
-// Polled implements figpier.ConfigurationView.
-func (v *View) Polled() time.Time { return v.published.Load().polled }
+// LastPoll implements figpier.ConfigurationView.
+func (v *View) LastPoll() time.Time { return v.published.Load().pollSentAt }
 
 // Subscribe implements figpier.ConfigurationView.
 func (v *View) Subscribe(f func(*figpier.Configuration)) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Follow implements figpier.ConfigurationView.
-func (v *View) Follow(ctx context.Context, s figpier.UpstreamService) error {
+// FollowMembers implements figpier.ConfigurationView.
+func (v *View) FollowMembers(ctx context.Context, s figpier.UpstreamService) error {
 	if v.published.Load().loaded.Has(s) {
 		return nil
 	}
@@ -278,7 +278,7 @@
 	p.ElsewhereMillis = int(v.sinceOtherPoll(sent, address).Milliseconds())
 	v.lastPoll[address] = sent
 	var a message.PollAnswer
-	if err := v.messenger.Ask(pollCtx, address, figpier.MethodPoll, p, &a); err != nil {
+	if err := v.messenger.Request(pollCtx, address, figpier.MethodPoll, p, &a); err != nil {
 		if repolled.Load() && ctx.Err() == nil {
 			return true
 		}
--- a/internal/traffic/control/view_test.go
+++ b/internal/traffic/control/view_test.go
@@ -27,7 +27,7 @@
 func (*fakeMessenger) Stop(context.Context) error                     { return nil }
 func (*fakeMessenger) Handle(figpier.Method, figpier.MessageHandler)  {}
 
-func (m *fakeMessenger) Ask(ctx context.Context, address string, _ figpier.Method, question, answer any) error {
+func (m *fakeMessenger) Request(ctx context.Context, address string, _ figpier.Method, question, answer any) error {
 	m.mu.Lock()
 	m.asked = append(m.asked, address)
 	alive := m.alive[address]
--- a/internal/traffic/cutoffs/table.go
+++ b/internal/traffic/cutoffs/table.go
@@ -32,12 +32,12 @@
 // Stop implements figpier.Service.
 func (t *Table) Stop(context.Context) error { return nil }
 
-// Learn implements figpier.CutOffs.
-func (t *Table) Learn(c *figpier.Call, cutOff figpier.Rank) {
+// Record implements figpier.CutOffs.
+func (t *Table) Record(c *figpier.Call, cutOff figpier.Rank) {
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.Learn(now, cutoff.NewRoute(c.Service(), c.Route()), cutOff)
+	t.policy.Record(now, cutoff.NewRoute(c.Service(), c.Route()), cutOff)
 }
 
 // CutOff implements figpier.CutOffs.
--- a/internal/traffic/delivery/deliver.go
+++ b/internal/traffic/delivery/deliver.go
@@ -93,7 +93,7 @@
 	remaining := b.call.Deadline().Sub(b.began)
 	work, cancel := context.WithTimeout(ctx, remaining)
 	out, attempt := web.Dispatch(work, address, i, i.Body())
-	b.server.dialect.Dress(out.Header, b.call, remaining)
+	b.server.dialect.SetHeaders(out.Header, b.call, remaining)
 	response, err := b.server.transport.RoundTrip(out) //nolint:bodyclose // closed with the answer
 	if err != nil {
 		defer cancel()
@@ -113,12 +113,12 @@
 		b.release(k)
 		return nil, figpier.Refuse(r)
 	}
-	switch b.server.dialect.Read(response.StatusCode, response.Header, b.call) {
+	switch b.server.dialect.Classify(response.StatusCode, response.Header, b.call) {
 	case figpier.VerdictFull:
 		return refuse(figpier.OutcomeOverloaded, figpier.RefusalBackendFull)
 	case figpier.VerdictNotRun:
 		return refuse(figpier.OutcomeNotRun, figpier.RefusalBackendFull)
-	case figpier.VerdictForeign:
+	case figpier.VerdictMismatch:
 		// The response belongs to an earlier request, so that other idle connections can't be trusted either.
 		b.server.transport.CloseIdleConnections()
 		return refuse(figpier.OutcomeFailed, figpier.RefusalAnswerBroken)
@@ -157,7 +157,7 @@
 func failureRefusal(ctx context.Context, kind figpier.OutcomeKind, a *web.Attempt, err error) *figpier.Refusal {
 	c := figpier.RefusalConfig{
 		Reason:       figpier.RefusalBackendFailed,
-		RanSomewhere: a.Reached(),
+		MayHaveRun:   a.Reached(),
 		ProvenNotRun: !a.Reached(),
 		Detail:       err.Error(),
 	}
--- a/internal/traffic/exit/attempts.go
+++ b/internal/traffic/exit/attempts.go
@@ -40,28 +40,28 @@
 		h.refuse(w, c, web.AsRefusal(err))
 		return
 	}
-	h.judge.First(c)
+	h.decider.CountFirstAttempt(c)
 	var tried []figpier.InstanceID
 	var last *result
 	ran := false // whether an attempt may have run
 	for {
 		m, err := h.router.Pick(c, tried)
 		if err != nil {
-			l.NoteCutOff(h.router.CutOff(c.Service()))
+			l.RecordCutOff(h.router.CutOff(c.Service()))
 			h.giveUp(w, c, last.orRefusal(err), ran)
 			return
 		}
 		last.close()
 		tried = append(tried, m.Instance())
 		a := h.startAttempt(ctx, r, c, l, m, body)
-		l.NoteCutOff(h.router.CutOff(c.Service()))
+		l.RecordCutOff(h.router.CutOff(c.Service()))
 		if a.outcome.Kind() == figpier.OutcomeDone {
 			web.Overlap(w, r, a.sent)
 			h.streamAnswer(ctx, w, a)
 			return
 		}
 		h.endAttempt(a)
-		l.NoteCutOff(h.router.CutOff(c.Service()))
+		l.RecordCutOff(h.router.CutOff(c.Service()))
 		ran = ran || mayHaveRun(a.outcome.Kind())
 		if !h.mayRetry(ctx, c, l, a.outcome, body) {
 			h.giveUp(w, c, a, ran)
@@ -81,7 +81,7 @@
 		h.recordRetryDecision(c, figpier.NoRetryBodyStarted)
 		return false
 	}
-	ok, reason := h.judge.Again(c, l, o)
+	ok, reason := h.decider.MayRetry(c, l, o)
 	h.recordRetryDecision(c, reason)
 	return ok
 }
@@ -113,7 +113,7 @@
 // send makes the request to the member with a portion of the live call's retry budget, and gives back what is left of it.
 // After a failure that came once the request had been sent, nothing is given back, as the member may have used it up.
 func (h *Handler) send(ctx context.Context, r *http.Request, c *figpier.Call, l figpier.LiveCall, m *figpier.Member, b *web.Replay) (*result, figpier.Rank) {
-	portion := h.judge.Portion(l)
+	portion := h.decider.TakeBudgetPortion(l)
 	hop := c.Config()
 	hop.Budget = portion
 	envelope, err := codec.EncodeEnvelope(figpier.NewCall(hop), h.clock.Now())
@@ -140,7 +140,7 @@
 		return h.failedResult(ctx, c, attempt, err), figpier.MaxRank
 	}
 	l.ReturnBudget(min(portion, headerNumber(answer.Header, figpier.HeaderBudget, 0)))
-	l.NoteCutOff(headerRank(answer.Header, figpier.HeaderTreeCutOff))
+	l.RecordCutOff(headerRank(answer.Header, figpier.HeaderTreeCutOff))
 	cutOff := headerRank(answer.Header, figpier.HeaderCutOff)
 	return &result{answer: answer, sent: attempt, outcome: figpier.NewOutcome(answerKind(answer), 0)}, cutOff
 }
@@ -187,7 +187,7 @@
 
 // failedResult returns the result of an attempt that got no answer after its request had been sent.
 func (h *Handler) failedResult(ctx context.Context, call *figpier.Call, a *web.Attempt, err error) *result {
-	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, RanSomewhere: true, Detail: err.Error()}
+	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, MayHaveRun: true, Detail: err.Error()}
 	kind := figpier.OutcomeFailed
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) || !h.clock.Now().Before(call.Deadline()):
@@ -220,7 +220,7 @@
 	if !ran {
 		return r
 	}
-	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r.Reason(), RanSomewhere: true, RetryAfter: r.RetryAfter()})
+	return figpier.NewRefusal(figpier.RefusalConfig{Reason: r.Reason(), MayHaveRun: true, RetryAfter: r.RetryAfter()})
 }
 
 // giveUp answers with the refusal of the last attempt. A member's refusal is passed on as it came, unless an attempt may
@@ -254,7 +254,7 @@
 	notRun := answer.Header.Get(figpier.HeaderNotRun) == figpier.NotRunMark
 	return figpier.NewRefusal(figpier.RefusalConfig{
 		Reason:       figpier.RefusalReason(answer.Header.Get(figpier.HeaderRefusal)),
-		RanSomewhere: !notRun,
+		MayHaveRun:   !notRun,
 		ProvenNotRun: notRun,
 		RetryAfter:   time.Duration(headerNumber(answer.Header, "Retry-After", 0)) * time.Second,
 	})
--- a/internal/traffic/exit/handler.go
+++ b/internal/traffic/exit/handler.go
@@ -32,7 +32,7 @@
 	view      figpier.ConfigurationView
 	handles   figpier.Handles
 	router    figpier.Router
-	judge     figpier.RetryJudge
+	decider   figpier.RetryDecider
 	counters  figpier.Counters
 	log       figpier.RequestLog
 	transport *http.Transport
@@ -71,7 +71,7 @@
 	if h.router, err = figpier.FindRouter(d); err != nil {
 		return err
 	}
-	if h.judge, err = figpier.FindRetryJudge(d); err != nil {
+	if h.decider, err = figpier.FindRetryDecider(d); err != nil {
 		return err
 	}
 	if h.log, err = figpier.FindRequestLog(d); err != nil {
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), c.Deadline().Sub(h.clock.Now()))
 	defer cancel()
 	defer context.AfterFunc(l.Context(), cancel)()
-	if err := h.view.Follow(ctx, c.Service()); err != nil {
+	if err := h.view.FollowMembers(ctx, c.Service()); err != nil {
 		h.refuse(w, c, figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalNoUpstream, Detail: err.Error()}))
 		return
 	}
--- a/internal/traffic/forward/attempts.go
+++ b/internal/traffic/forward/attempts.go
@@ -131,7 +131,7 @@
 	if !p.ran {
 		return withRetryAfter(newest)
 	}
-	return figpier.NewRefusal(figpier.RefusalConfig{Reason: last.Reason(), RanSomewhere: true, RetryAfter: last.RetryAfter()})
+	return figpier.NewRefusal(figpier.RefusalConfig{Reason: last.Reason(), MayHaveRun: true, RetryAfter: last.RetryAfter()})
 }
 
 // withRetryAfter sets a Retry-After on a "not run" refusal that has none.
@@ -237,7 +237,7 @@
 	if !sent.Reached() {
 		return unreachedAttempt(err)
 	}
-	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, RanSomewhere: true, Detail: err.Error()}
+	c := figpier.RefusalConfig{Reason: figpier.RefusalPeerFailed, MayHaveRun: true, Detail: err.Error()}
 	kind := figpier.OutcomeFailed
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/traffic/forward/forwarder.go
+++ b/internal/traffic/forward/forwarder.go
@@ -111,8 +111,8 @@
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range c.Table().Services() {
-		// Follow posts the subscription before it waits; the cancelled context skips the wait.
-		_ = f.view.Follow(cancelled, s.Name())
+		// FollowMembers posts the subscription before it waits; the cancelled context skips the wait.
+		_ = f.view.FollowMembers(cancelled, s.Name())
 	}
 }
 
--- a/internal/traffic/gate/gate.go
+++ b/internal/traffic/gate/gate.go
@@ -24,7 +24,7 @@
 	view    figpier.ConfigurationView
 	limiter figpier.Limiter
 	ranker  figpier.Ranker
-	judge   figpier.RetryJudge
+	decider figpier.RetryDecider
 }
 
 // New returns a gate, to be started by the kernel.
@@ -45,7 +45,7 @@
 	if g.ranker, err = figpier.FindRanker(d); err != nil {
 		return err
 	}
-	g.judge, err = figpier.FindRetryJudge(d)
+	g.decider, err = figpier.FindRetryDecider(d)
 	return err
 }
 
@@ -89,7 +89,7 @@
 // checkLimits refuses a retry that comes sooner than the profile's interval, and a request over the customer's rate and
 // burst.
 func (g *Gate) checkLimits(ctx context.Context, c figpier.CallConfig, p *figpier.Profile) error {
-	if wait := g.judge.Pace(c.Customer, c.IdempotencyKey, p.Retry().CallerInterval()); wait > 0 {
+	if wait := g.decider.CallerRetryDelay(c.Customer, c.IdempotencyKey, p.Retry().CallerInterval()); wait > 0 {
 		return figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalRetryTooSoon, RetryAfter: wait})
 	}
 	if c.Customer == "" {
--- a/internal/traffic/gate/gate_test.go
+++ b/internal/traffic/gate/gate_test.go
@@ -31,8 +31,8 @@
 		figpier.Ranker
 		ranked int
 	}
-	fakeJudge struct {
-		figpier.RetryJudge
+	fakeDecider struct {
+		figpier.RetryDecider
 		wait time.Duration
 	}
 )
@@ -53,13 +53,13 @@
 	return 7
 }
 
-func (j *fakeJudge) Pace(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
+func (j *fakeDecider) CallerRetryDelay(figpier.CustomerID, figpier.IdempotencyKey, time.Duration) time.Duration {
 	return j.wait
 }
 
 const secret = "fpk_secret"
 
-func newGate() (*Gate, *fakeView, *fakeLimiter, *fakeRanker, *fakeJudge) {
+func newGate() (*Gate, *fakeView, *fakeLimiter, *fakeRanker, *fakeDecider) {
 	digest := figpier.KeyDigest(sha256.Sum256([]byte(secret)))
 	p := figpier.NewProfile(figpier.ProfileConfig{
 		Name: "p",
@@ -73,8 +73,8 @@
 		Assignments: map[figpier.UpstreamService]*figpier.Assignment{"dates": figpier.NewAssignment(figpier.AssignmentConfig{Service: "dates", Profile: "p"})},
 		Keys:        map[figpier.KeyDigest]*figpier.Key{digest: figpier.NewKey(figpier.KeyConfig{ID: "k", Customer: "valv", Digest: digest})},
 	})}
-	l, r, j := &fakeLimiter{}, &fakeRanker{}, &fakeJudge{}
-	return &Gate{config: Config{Service: "dates"}, clock: fakeClock{}, view: v, limiter: l, ranker: r, judge: j}, v, l, r, j
+	l, r, j := &fakeLimiter{}, &fakeRanker{}, &fakeDecider{}
+	return &Gate{config: Config{Service: "dates"}, clock: fakeClock{}, view: v, limiter: l, ranker: r, decider: j}, v, l, r, j
 }
 
 func arrival(path string, keys ...string) *figpier.Arrival {
--- a/internal/traffic/handles/table.go
+++ b/internal/traffic/handles/table.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	v.Subscribe(t.EndWithdrawn)
+	v.Subscribe(t.CancelWithdrawn)
 	s, err := figpier.FindStaleness(d)
 	if err != nil {
 		return err
@@ -79,14 +79,14 @@
 	delete(t.calls, h)
 	t.mu.Unlock()
 	if ok {
-		l.SealExits()
+		l.RefuseExits()
 		l.stopTimer()
 		l.cancelCause(context.Canceled)
 	}
 }
 
-// EndWithdrawn implements figpier.Handles.
-func (t *Table) EndWithdrawn(c *figpier.Configuration) {
+// CancelWithdrawn implements figpier.Handles.
+func (t *Table) CancelWithdrawn(c *figpier.Configuration) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
@@ -106,13 +106,13 @@
 	defer t.mu.RUnlock()
 	for _, l := range t.calls {
 		if l.call.Customer() != "" {
-			l.cancelCause(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, RanSomewhere: true}))
+			l.cancelCause(figpier.NewRefusal(figpier.RefusalConfig{Reason: figpier.RefusalStaleView, MayHaveRun: true}))
 		}
 	}
 }
 
-// Live implements figpier.Handles.
-func (t *Table) Live() int {
+// Len implements figpier.Handles.
+func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return len(t.calls)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Below implements figpier.LiveCall.
-func (l *liveCall) Below() time.Duration {
+// DownstreamTime implements figpier.LiveCall.
+func (l *liveCall) DownstreamTime() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.openExits > 0 {
@@ -182,8 +182,8 @@
 	return l.exitTime
 }
 
-// SealExits implements figpier.LiveCall.
-func (l *liveCall) SealExits() int {
+// RefuseExits implements figpier.LiveCall.
+func (l *liveCall) RefuseExits() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.exitsSealed = true
@@ -211,15 +211,15 @@
 	l.budget.Return(n)
 }
 
-// Unused implements figpier.LiveCall.
-func (l *liveCall) Unused() int {
+// UnusedBudget implements figpier.LiveCall.
+func (l *liveCall) UnusedBudget() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget.Unused()
 }
 
-// NoteCutOff implements figpier.LiveCall.
-func (l *liveCall) NoteCutOff(cutOff figpier.Rank) {
+// RecordCutOff implements figpier.LiveCall.
+func (l *liveCall) RecordCutOff(cutOff figpier.Rank) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cutOff = min(l.cutOff, cutOff)
--- a/internal/traffic/leaving/leaver.go
+++ b/internal/traffic/leaving/leaver.go
@@ -45,6 +45,6 @@
 	case <-ctx.Done():
 	case <-over:
 	}
-	l.backend.Close()
+	l.backend.RefuseCalls()
 	return nil
 }
--- a/internal/traffic/limiter/source.go
+++ b/internal/traffic/limiter/source.go
@@ -187,9 +187,9 @@
 	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var g message.TokenGrant
-	err = s.limiter.messenger.Ask(askCtx, address, figpier.MethodTokens, m, &g)
+	err = s.limiter.messenger.Request(askCtx, address, figpier.MethodTokens, m, &g)
 	if err != nil || !g.Acting {
-		s.limiter.locator.Forget(s.shard, address)
+		s.limiter.locator.Invalidate(s.shard, address)
 		return bucket.Grant{}, false
 	}
 	return codec.ToGrant(g), true
--- a/internal/traffic/locator/locator.go
+++ b/internal/traffic/locator/locator.go
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(l.lookupCtx, requestTimeout)
 	defer cancel()
 	var f message.ShardFound
-	err := l.messenger.Ask(ctx, control, figpier.MethodShardLookup, message.ShardLookup{Shard: int(id)}, &f)
+	err := l.messenger.Request(ctx, control, figpier.MethodShardLookup, message.ShardLookup{Shard: int(id)}, &f)
 	if err != nil {
 		return "", err
 	}
@@ -159,8 +159,8 @@
 	return codec.MemberAddress(shard.MemberID(f.Assignment.Primary)), nil
 }
 
-// Forget implements figpier.ShardLocator. It does nothing if another address has been found since.
-func (l *Locator) Forget(id uint32, address string) {
+// Invalidate implements figpier.ShardLocator. It does nothing if another address has been found since.
+func (l *Locator) Invalidate(id uint32, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.primaries[id] == address {
--- a/internal/traffic/quota/limiter.go
+++ b/internal/traffic/quota/limiter.go
@@ -145,7 +145,7 @@
 	m := message.PoolAsk{Customer: string(c), Owed: l.debt.Owed(c), Nodes: l.countNodes(l.clock.Now())}
 	l.mu.Unlock()
 	var a message.PoolAnswer
-	err := l.messenger.Ask(askCtx, l.view.Control(), figpier.MethodPool, m, &a)
+	err := l.messenger.Request(askCtx, l.view.Control(), figpier.MethodPool, m, &a)
 	if err == nil && a.Paid > 0 {
 		l.mu.Lock()
 		l.debt.Repay(c, a.Paid)
@@ -158,7 +158,7 @@
 // spends the node's part of the pool after poolLossTime.
 func (l *Limiter) takeUnanswered(c figpier.CustomerID, limit figpier.Limit, cause error) (wait time.Duration, ok bool) {
 	now := l.clock.Now()
-	sincePoll := now.Sub(l.view.Polled())
+	sincePoll := now.Sub(l.view.LastPoll())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.lastLogged) >= logInterval {
--- a/internal/traffic/quota/limiter_test.go
+++ b/internal/traffic/quota/limiter_test.go
@@ -126,7 +126,7 @@
 func (n *node) AfterFunc(time.Duration, func()) (cancel func()) { return func() {} }
 func (n *node) Nodes() int                                      { return fleetNodes }
 func (n *node) Control() string                                 { return "control" }
-func (n *node) Polled() time.Time                               { return n.polled }
+func (n *node) LastPoll() time.Time                             { return n.polled }
 func (n *node) Name() figpier.ServiceName                       { return figpier.LimiterService }
 func (n *node) Start(context.Context, figpier.Directory) error  { return nil }
 func (n *node) Stop(context.Context) error                      { return nil }
@@ -140,7 +140,7 @@
 	return figpier.NewConfiguration(figpier.ConfigurationConfig{Table: table})
 }
 
-func (n *node) Ask(_ context.Context, _ string, _ figpier.Method, ask, answer any) error {
+func (n *node) Request(_ context.Context, _ string, _ figpier.Method, ask, answer any) error {
 	if !n.reachesControl() {
 		return context.DeadlineExceeded
 	}
--- a/internal/traffic/shards/cluster_test.go
+++ b/internal/traffic/shards/cluster_test.go
@@ -53,12 +53,12 @@
 
 func (proposal) Target() figpier.ServiceName { return figpier.ReplicaService }
 
-func (l *fakeLog) Name() figpier.ServiceName         { return figpier.ReplicaService }
-func (l *fakeLog) Drive(m figpier.StateMachine)      { l.machine = m }
-func (l *fakeLog) QuorumAge(time.Time) time.Duration { return 0 }
-func (l *fakeLog) Leader() figpier.InstanceID        { return controlName }
-func (l *fakeLog) Peers() []string                   { return nil }
-func (l *fakeLog) Stop(context.Context) error        { return nil }
+func (l *fakeLog) Name() figpier.ServiceName              { return figpier.ReplicaService }
+func (l *fakeLog) SetStateMachine(m figpier.StateMachine) { l.machine = m }
+func (l *fakeLog) QuorumAge(time.Time) time.Duration      { return 0 }
+func (l *fakeLog) Leader() figpier.InstanceID             { return controlName }
+func (l *fakeLog) Peers() []string                        { return nil }
+func (l *fakeLog) Stop(context.Context) error             { return nil }
 func (l *fakeLog) HandleEvent(_ time.Time, e figpier.Event) {
 	p := e.(proposal)
 	p.answer <- l.machine.Apply(1, p.command)
@@ -152,7 +152,7 @@
 		Backups:    2,
 		Log:        discardLog(),
 	})
-	log.Drive(machines.New(machines.Config{Shards: assigner}))
+	log.SetStateMachine(machines.New(machines.Config{Shards: assigner}))
 	cl.control = cl.startProcess(cl.network.link(controlName), log, assigner)
 	for range nodes {
 		cl.startNode()
--- a/internal/traffic/shards/lease.go
+++ b/internal/traffic/shards/lease.go
@@ -46,7 +46,7 @@
 		Reports:    h.followerReports(assigned, sent),
 	}
 	var l message.ShardLease
-	if err := h.messenger.Ask(ask, address, figpier.MethodShardRenew, m, &l); err != nil {
+	if err := h.messenger.Request(ask, address, figpier.MethodShardRenew, m, &l); err != nil {
 		return false
 	}
 	if l.Leading {
--- a/internal/traffic/shards/network_test.go
+++ b/internal/traffic/shards/network_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-func (l *link) Ask(ctx context.Context, address string, m figpier.Method, message, answer any) error {
+func (l *link) Request(ctx context.Context, address string, m figpier.Method, message, answer any) error {
 	data, err := json.Marshal(message)
 	if err != nil {
 		return err
--- a/internal/traffic/shards/replication.go
+++ b/internal/traffic/shards/replication.go
@@ -95,7 +95,7 @@
 	ask, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var a message.ShardWritten
-	err := r.host.messenger.Ask(ask, codec.MemberAddress(m), figpier.MethodShardWrite, w, &a)
+	err := r.host.messenger.Request(ask, codec.MemberAddress(m), figpier.MethodShardWrite, w, &a)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
--- a/internal/traffic/stopping/stopper.go
+++ b/internal/traffic/stopping/stopper.go
@@ -66,6 +66,6 @@
 	case <-ctx.Done():
 	case <-over:
 	}
-	s.backend.Close()
+	s.backend.RefuseCalls()
 	return nil
 }
--- a/internal/traffic/upstream/event.go
+++ b/internal/traffic/upstream/event.go
@@ -84,10 +84,10 @@
 		u.logEntry(a).Info("the backend server announced itself")
 		u.cancelNotice()
 		u.draining, u.drained = false, false
-		u.admission.Resize(0)
+		u.admission.SetSlots(0)
 	}
 	u.newest, u.known = a, true
-	u.admission.Resize(a.Slots())
+	u.admission.SetSlots(a.Slots())
 	u.scheduleExpiry(a)
 	if a.Draining() {
 		u.startDrain()
@@ -141,7 +141,7 @@
 	}
 	u.logEntry(u.newest).Warn("the backend server has stopped announcing itself")
 	u.known = false
-	u.admission.Resize(0)
+	u.admission.SetSlots(0)
 }
 
 // publish makes the state visible to traffic threads, and announces the node if its entry has changed.
--- a/internal/traffic/upstream/upstream.go
+++ b/internal/traffic/upstream/upstream.go
@@ -103,8 +103,8 @@
 // Leaving implements figpier.Backend.
 func (u *Upstream) Leaving() bool { return u.current.Load().leaving }
 
-// Close implements figpier.Backend; it returns once the control thread has published the change.
-func (u *Upstream) Close() {
+// RefuseCalls implements figpier.Backend; it returns once the control thread has published the change.
+func (u *Upstream) RefuseCalls() {
 	done := make(chan struct{})
 	if err := u.control.Post(closeRequested{done: done}); err == nil {
 		<-done
--- a/internal/wire/codec/configuration.go
+++ b/internal/wire/codec/configuration.go
@@ -234,9 +234,9 @@
 	for _, name := range d.GoneProfiles {
 		delete(next.Profiles, figpier.ProfileName(name))
 	}
-	gone := figpier.NewSet(d.GoneKeys...)
+	removed := figpier.NewSet(d.GoneKeys...)
 	for digest, k := range next.Keys {
-		if gone.Has(k.ID()) {
+		if removed.Has(k.ID()) {
 			delete(next.Keys, digest)
 		}
 	}
--- a/internal/wire/codec/member.go
+++ b/internal/wire/codec/member.go
@@ -36,24 +36,24 @@
 }
 
 // FromMembers returns the wire forms of a delta's added or changed members and the names of the removed ones.
-func FromMembers(d figpier.MemberDelta) (members []message.Member, gone []string) {
+func FromMembers(d figpier.MemberDelta) (members []message.Member, removed []string) {
 	for _, m := range d.Members() {
 		members = append(members, FromMember(m))
 	}
-	for _, id := range d.Gone() {
-		gone = append(gone, string(id))
+	for _, id := range d.Removed() {
+		removed = append(removed, string(id))
 	}
-	return members, gone
+	return members, removed
 }
 
 // ToMemberDelta converts a delta from the wire forms that FromMembers returns. Its Changed channel is nil.
-func ToMemberDelta(version int, members []message.Member, gone []string) figpier.MemberDelta {
+func ToMemberDelta(version int, members []message.Member, removed []string) figpier.MemberDelta {
 	c := figpier.MemberDeltaConfig{Version: uint64(version)}
 	for _, m := range members {
 		c.Members = append(c.Members, ToMember(m))
 	}
-	for _, id := range gone {
-		c.Gone = append(c.Gone, figpier.InstanceID(id))
+	for _, id := range removed {
+		c.Removed = append(c.Removed, figpier.InstanceID(id))
 	}
 	return figpier.NewMemberDelta(c)
 }
--- a/link.go
+++ b/link.go
@@ -16,8 +16,8 @@
 	Service
 	// Handle sets the handler of a method. It must be called before the messenger starts.
 	Handle(m Method, h MessageHandler)
-	// Ask sends a request to an IP address and port and decodes the response into answer, which is a pointer.
-	Ask(ctx context.Context, address string, m Method, message, answer any) error
+	// Request sends a request to an IP address and port and decodes the response into answer, which is a pointer.
+	Request(ctx context.Context, address string, m Method, message, answer any) error
 }
 
 // Methods that control instances serve.
--- a/log.go
+++ b/log.go
@@ -1,7 +1,7 @@
 package figpier
 
-// LogService is the name of the request log of a process.
-const LogService ServiceName = "host.log"
+// RequestLogService is the name of the request log of a process.
+const RequestLogService ServiceName = "host.log"
 
 // RequestLog records refusals, retries and attempts.
 type RequestLog interface {
@@ -16,5 +16,5 @@
 
 // FindRequestLog finds the request log of a process.
 func FindRequestLog(d Directory) (RequestLog, error) {
-	return findService[RequestLog](d, LogService)
+	return findService[RequestLog](d, RequestLogService)
 }
--- a/lookup.go
+++ b/lookup.go
@@ -25,9 +25,9 @@
 	return findService[Router](d, RouterService)
 }
 
-// FindRetryJudge finds the retry policy of a node.
-func FindRetryJudge(d Directory) (RetryJudge, error) {
-	return findService[RetryJudge](d, RetryService)
+// FindRetryDecider finds the retry policy of a node.
+func FindRetryDecider(d Directory) (RetryDecider, error) {
+	return findService[RetryDecider](d, RetryService)
 }
 
 // FindLimiter finds the rate limiter of a node.
@@ -55,8 +55,8 @@
 	return findService[Catalog](d, CatalogService)
 }
 
-// FindLog finds the replicated log of a control instance.
-func FindLog(d Directory) (ReplicatedLog, error) {
+// FindReplicatedLog finds the replicated log of a control instance.
+func FindReplicatedLog(d Directory) (ReplicatedLog, error) {
 	return findService[ReplicatedLog](d, ReplicaService)
 }
 
--- a/member.go
+++ b/member.go
@@ -66,8 +66,8 @@
 	Version uint64
 	// Members holds the members that were added or changed.
 	Members []*Member
-	// Gone holds the members that were removed.
-	Gone []InstanceID
+	// Removed holds the members that were removed.
+	Removed []InstanceID
 	// Changed is closed at the next change to the registry.
 	Changed <-chan struct{}
 }
@@ -86,8 +86,8 @@
 // Members returns the members that were added or changed.
 func (d MemberDelta) Members() []*Member { return d.config.Members }
 
-// Gone returns the members that were removed.
-func (d MemberDelta) Gone() []InstanceID { return d.config.Gone }
+// Removed returns the members that were removed.
+func (d MemberDelta) Removed() []InstanceID { return d.config.Removed }
 
 // Changed returns a channel that is closed at the next change to the registry.
 func (d MemberDelta) Changed() <-chan struct{} { return d.config.Changed }
--- a/overload.go
+++ b/overload.go
@@ -17,8 +17,8 @@
 // CutOffs stores the cut-offs that downstream nodes report, by the route of the call.
 type CutOffs interface {
 	Service
-	// Learn records the cut-off that a call met downstream, MaxRank for none.
-	Learn(c *Call, cutOff Rank)
+	// Record records the cut-off that a call met downstream, MaxRank for none.
+	Record(c *Call, cutOff Rank)
 	// CutOff returns the lowest rank that is refused downstream on the call's route, MaxRank when none is.
 	CutOff(c *Call) Rank
 }
--- a/refusal.go
+++ b/refusal.go
@@ -59,8 +59,8 @@
 // NotRun reports whether the reason alone proves that no backend server ran the request.
 func (k RefusalKind) NotRun() bool { return k.notRun }
 
-// Text returns the explanation sent to the caller.
-func (k RefusalKind) Text() string { return k.text }
+// Explanation returns the explanation sent to the caller.
+func (k RefusalKind) Explanation() string { return k.text }
 
 var refusalKinds = []RefusalKind{
 	{RefusalKeyMissing, http.StatusUnauthorized, true, "the request has no key: send one in Figpier-Key"},
@@ -109,8 +109,8 @@
 type RefusalConfig struct {
 	// Reason is the reason for the refusal.
 	Reason RefusalReason
-	// RanSomewhere clears the "not run" mark that the reason would set. It takes precedence over ProvenNotRun.
-	RanSomewhere bool
+	// MayHaveRun clears the "not run" mark that the reason would set. It takes precedence over ProvenNotRun.
+	MayHaveRun bool
 	// ProvenNotRun sets the "not run" mark that the reason alone would not.
 	ProvenNotRun bool
 	// Detail is appended to the explanation in parentheses.
@@ -123,7 +123,7 @@
 func NewRefusal(c RefusalConfig) *Refusal {
 	for _, k := range refusalKinds {
 		if k.reason == c.Reason {
-			notRun := (k.notRun || c.ProvenNotRun) && !c.RanSomewhere
+			notRun := (k.notRun || c.ProvenNotRun) && !c.MayHaveRun
 			return &Refusal{kind: k, notRun: notRun, detail: c.Detail, retryAfter: c.RetryAfter}
 		}
 	}
--- a/shard.go
+++ b/shard.go
@@ -33,8 +33,8 @@
 	Service
 	// Primary returns the message address of a shard's primary, or an error when it can't be found.
 	Primary(ctx context.Context, shard uint32) (address string, err error)
-	// Forget removes a cached address, after it turned out not to serve the shard.
-	Forget(shard uint32, address string)
+	// Invalidate removes a cached address, after it turned out not to serve the shard.
+	Invalidate(shard uint32, address string)
 }
 
 // FindShardLocator finds the shard locator of a node.
--- a/test/capacity/main.go
+++ b/test/capacity/main.go
@@ -137,7 +137,7 @@
 	first := true
 	for ctx.Err() == nil {
 		var a message.PollAnswer
-		if err := n.messenger.Ask(ctx, r.controlAddress, figpier.MethodPoll, n.poll, &a); err != nil {
+		if err := n.messenger.Request(ctx, r.controlAddress, figpier.MethodPoll, n.poll, &a); err != nil {
 			continue
 		}
 		if awaited := r.awaitedRevision.Load(); int64(n.poll.Revision) < awaited && int64(a.Revision) >= awaited {
--- a/test/path/fakes_test.go
+++ b/test/path/fakes_test.go
@@ -80,11 +80,11 @@
 
 func (v *fakeView) Announce(*figpier.Member) {}
 
-func (v *fakeView) Follow(context.Context, figpier.UpstreamService) error { return nil }
+func (v *fakeView) FollowMembers(context.Context, figpier.UpstreamService) error { return nil }
 
 func (v *fakeView) Nodes() int { return 0 }
 
-func (v *fakeView) Polled() time.Time { return time.Time{} }
+func (v *fakeView) LastPoll() time.Time { return time.Time{} }
 
 func (v *fakeView) Control() string { return "" }
 
--- a/test/path/forwarding_test.go
+++ b/test/path/forwarding_test.go
@@ -286,7 +286,7 @@
 				}
 				calls.Wait()
 				l, ok := a.handles.Find(figpier.Handle(r.Header.Get(figpier.HeaderCall)))
-				assert.Check(t, ok && l.Unused() <= budget)
+				assert.Check(t, ok && l.UnusedBudget() <= budget)
 			})
 			assert.Equal(t, mustSend(t, newClient(t, false), a.request(http.MethodGet, "/x", nil)).status, http.StatusOK)
 			assert.Check(t, runs.Load() <= exitCalls+budget, "%d runs", runs.Load())
@@ -315,7 +315,7 @@
 	p := mustSend(t, newClient(t, false), a.request(http.MethodGet, "/x", nil))
 	assert.Equal(t, p.text, "b", "an exit call is allowed after the head of the answer")
 	ended := <-endedRequests
-	eventually(t, "the request has ended", func() bool { return a.handles.Live() == 0 })
+	eventually(t, "the request has ended", func() bool { return a.handles.Len() == 0 })
 	answer, err := a.exitCall(exitClient, ended, http.MethodGet, "http://b.figpier/x", nil)
 	assert.NilError(t, err)
 	defer answer.Body.Close()
--- a/test/path/harness_test.go
+++ b/test/path/harness_test.go
@@ -81,7 +81,7 @@
 	ready := make(startSignal)
 	for _, s := range []figpier.Service{
 		metrics.New(metrics.Config{}), logs.NewRequests(logger), v,
-		n.handles, ranks.New(), cutoffs.New(), fixed.NewLimiter(), fixed.NewClaims(), fixed.NewAdmission(16), n.router, fixed.NewJudge(),
+		n.handles, ranks.New(), cutoffs.New(), fixed.NewLimiter(), fixed.NewClaims(), fixed.NewAdmission(16), n.router, fixed.NewDecider(),
 		gate.New(gate.Config{Service: service}), runner.New(), exits, n.backend, n.peer, n.caller, ready,
 	} {
 		assert.NilError(t, k.Register(s))
--- a/test/path/not_run_test.go
+++ b/test/path/not_run_test.go
@@ -205,7 +205,7 @@
 				return send(newClient(t, false), r)
 			}
 			_, _ = attempt()
-			eventually(t, "the first run has ended", func() bool { return n.handles.Live() == 0 })
+			eventually(t, "the first run has ended", func() bool { return n.handles.Len() == 0 })
 			p, err := attempt()
 			assert.NilError(t, err)
 			assert.Equal(t, p.reason(), tt.second)
--- a/test/path/termination_test.go
+++ b/test/path/termination_test.go
@@ -58,7 +58,7 @@
 			_, err := send(newClient(t, http2), a.request(http.MethodGet, "/x", nil).WithContext(ctx))
 			assert.ErrorIs(t, err, context.Canceled)
 			<-ended
-			eventually(t, "no call is live", func() bool { return a.handles.Live()+b.handles.Live() == 0 })
+			eventually(t, "no call is live", func() bool { return a.handles.Len()+b.handles.Len() == 0 })
 		})
 	}
 }
@@ -74,7 +74,7 @@
 	assert.Equal(t, p.status, http.StatusGatewayTimeout)
 	assert.Check(t, !p.notRun())
 	<-ended
-	eventually(t, "no call is live", func() bool { return a.handles.Live()+b.handles.Live() == 0 })
+	eventually(t, "no call is live", func() bool { return a.handles.Len()+b.handles.Len() == 0 })
 }
 
 func TestCallerThatDoesNotReadIsEndedAtTheDeadline(t *testing.T) {
@@ -86,8 +86,8 @@
 	defer c.Close()
 	_, err = fmt.Fprintf(c, "GET /short/x HTTP/1.1\r\nHost: a\r\nFigpier-Key: %s\r\n\r\n", callerKey)
 	assert.NilError(t, err)
-	eventually(t, "the request runs", func() bool { return n.handles.Live() == 1 })
-	eventually(t, "the call has ended", func() bool { return n.handles.Live() == 0 })
+	eventually(t, "the request runs", func() bool { return n.handles.Len() == 1 })
+	eventually(t, "the call has ended", func() bool { return n.handles.Len() == 0 })
 }
 
 func TestCallerThatDoesNotSendIsEndedAtTheDeadline(t *testing.T) {
@@ -99,8 +99,8 @@
 	defer c.Close()
 	_, err = fmt.Fprintf(c, "POST /short/x HTTP/1.1\r\nHost: a\r\nFigpier-Key: %s\r\nContent-Length: 100\r\n\r\nhalf", callerKey)
 	assert.NilError(t, err)
-	eventually(t, "the request runs", func() bool { return n.handles.Live() == 1 })
-	eventually(t, "the call has ended", func() bool { return n.handles.Live() == 0 })
+	eventually(t, "the request runs", func() bool { return n.handles.Len() == 1 })
+	eventually(t, "the call has ended", func() bool { return n.handles.Len() == 0 })
 	_, err = io.Copy(io.Discard, c)
 	assert.NilError(t, err, "the node must close the connection")
 }
@@ -129,7 +129,7 @@
 			assert.Equal(t, p.reason(), string(tt.reason))
 			assert.Check(t, !p.notRun())
 			<-ended
-			eventually(t, "no call is live", func() bool { return a.handles.Live()+b.handles.Live() == 0 })
+			eventually(t, "no call is live", func() bool { return a.handles.Len()+b.handles.Len() == 0 })
 		})
 	}
 }
@@ -155,7 +155,7 @@
 	running := make(chan *reply, 1)
 	go func() { running <- mustSend(t, newClient(t, false), n.request(http.MethodGet, "/x", nil)) }()
 	<-began
-	n.backend.Close()
+	n.backend.RefuseCalls()
 	p := mustSend(t, newClient(t, false), n.request(http.MethodGet, "/x", nil))
 	assert.Equal(t, p.reason(), string(figpier.RefusalLeaving))
 	assert.Check(t, p.notRun())
--- a/traffic.go
+++ b/traffic.go
@@ -13,16 +13,16 @@
 	Configuration() *Configuration
 	// Fresh reports whether the view is recent enough to accept customer keys.
 	Fresh(now time.Time) bool
-	// Follow subscribes to the members of a service and returns once they are known.
-	Follow(ctx context.Context, s UpstreamService) error
-	// Members returns the known members of a service that Follow has subscribed to.
+	// FollowMembers subscribes to the members of a service and returns once they are known.
+	FollowMembers(ctx context.Context, s UpstreamService) error
+	// Members returns the known members of a service that FollowMembers has subscribed to.
 	Members(s UpstreamService) []*Member
 	// Nodes returns the number of nodes of all services, 0 until it is known.
 	Nodes() int
 	// Control returns the message address of the control instance that last answered a poll, empty before the first answer.
 	Control() string
-	// Polled returns the time at which the last answered poll was sent, zero before the first answer.
-	Polled() time.Time
+	// LastPoll returns the time at which the last answered poll was sent, zero before the first answer.
+	LastPoll() time.Time
 	// Subscribe registers a function that runs on the control thread after each installed configuration.
 	Subscribe(f func(*Configuration))
 	// Announce sets the member that this node registers with the control instances, now and at each renewal.
@@ -138,14 +138,14 @@
 // Elapsed returns the duration of the attempt.
 func (o Outcome) Elapsed() time.Duration { return o.elapsed }
 
-// WithBelow returns a copy with the part of the duration during which calls to other services were open.
-func (o Outcome) WithBelow(downstream time.Duration) Outcome {
+// WithDownstream returns a copy with the part of the duration during which calls to other services were open.
+func (o Outcome) WithDownstream(downstream time.Duration) Outcome {
 	o.downstream = downstream
 	return o
 }
 
-// Own returns the duration of the attempt without the time in calls to other services.
-func (o Outcome) Own() time.Duration { return max(0, o.elapsed-o.downstream) }
+// OwnElapsed returns the duration of the attempt without the time in calls to other services.
+func (o Outcome) OwnElapsed() time.Duration { return max(0, o.elapsed-o.downstream) }
 
 // Admission limits the calls that the local backend server runs concurrently.
 type Admission interface {
@@ -154,8 +154,8 @@
 	Admit(ctx context.Context, c *Call) (Ticket, error)
 	// CutOff returns the lowest rank that is currently refused, MaxRank when none is.
 	CutOff() Rank
-	// Resize sets the number of slots that the backend server announced.
-	Resize(slots int)
+	// SetSlots sets the number of slots that the backend server announced.
+	SetSlots(slots int)
 }
 
 // Ticket represents an occupied slot at the backend server.
@@ -172,20 +172,20 @@
 	BeginExit() bool
 	// EndExit records the end of an exit call.
 	EndExit()
-	// Below returns the total time during which at least one exit call was open.
-	Below() time.Duration
-	// SealExits disallows further exit calls and returns the number made so far.
-	SealExits() int
+	// DownstreamTime returns the total time during which at least one exit call was open.
+	DownstreamTime() time.Duration
+	// RefuseExits disallows further exit calls and returns the number made so far.
+	RefuseExits() int
 	// Exits returns the number of exit calls made so far.
 	Exits() int
 	// TakeBudget takes up to n retries from the call's budget and returns the number taken.
 	TakeBudget(n int) int
 	// ReturnBudget returns n unused retries to the budget.
 	ReturnBudget(n int)
-	// Unused returns the number of retries left in the budget.
-	Unused() int
-	// NoteCutOff records a cut-off that the call met downstream.
-	NoteCutOff(cutOff Rank)
+	// UnusedBudget returns the number of retries left in the budget.
+	UnusedBudget() int
+	// RecordCutOff records a cut-off that the call met downstream.
+	RecordCutOff(cutOff Rank)
 	// CutOff returns the lowest cut-off that the call met downstream, MaxRank when it met none.
 	CutOff() Rank
 	// Context returns a context that is cancelled when the call ends.
@@ -201,10 +201,10 @@
 	Find(h Handle) (LiveCall, bool)
 	// Close invalidates a handle and ends its call.
 	Close(h Handle)
-	// EndWithdrawn cancels the running calls whose key is no longer in the configuration.
-	EndWithdrawn(c *Configuration)
-	// Live returns the number of running calls.
-	Live() int
+	// CancelWithdrawn cancels the running calls whose key is no longer in the configuration.
+	CancelWithdrawn(c *Configuration)
+	// Len returns the number of running calls.
+	Len() int
 }
 
 // Router selects members for exit calls and tracks their load and failures.
@@ -220,17 +220,17 @@
 	CutOff(s UpstreamService) Rank
 }
 
-// RetryJudge decides whether an exit call is retried.
-type RetryJudge interface {
+// RetryDecider decides whether an exit call is retried.
+type RetryDecider interface {
 	Service
-	// Pace returns the time that a caller must wait before another attempt with the idempotency key, 0 when it may proceed.
-	Pace(c CustomerID, k IdempotencyKey, interval time.Duration) time.Duration
-	// Portion takes the retry budget of an exit call out of the budget of the live call and returns it.
-	Portion(l LiveCall) int
-	// First records a first attempt.
-	First(c *Call)
-	// Again reports whether an attempt with this outcome is retried, and the reason for the decision.
-	Again(c *Call, l LiveCall, o Outcome) (ok bool, reason RetryReason)
+	// CallerRetryDelay returns the time that a caller must wait before another attempt with the idempotency key, 0 when it may proceed.
+	CallerRetryDelay(c CustomerID, k IdempotencyKey, interval time.Duration) time.Duration
+	// TakeBudgetPortion takes the retry budget of an exit call out of the budget of the live call and returns it.
+	TakeBudgetPortion(l LiveCall) int
+	// CountFirstAttempt records a first attempt.
+	CountFirstAttempt(c *Call)
+	// MayRetry reports whether an attempt with this outcome is retried, and the reason for the decision.
+	MayRetry(c *Call, l LiveCall, o Outcome) (ok bool, reason RetryReason)
 }
 
 // RetryReason identifies why an attempt was retried or not.
@@ -280,8 +280,8 @@
 	Leave()
 	// Leaving reports whether Leave has taken effect.
 	Leaving() bool
-	// Close refuses all further calls, and returns once that has taken effect.
-	Close()
+	// RefuseCalls refuses all further calls, and returns once that has taken effect.
+	RefuseCalls()
 }
 
 // Runner prepares calls for the local backend server.
