--- a/internal/control/exchange/exchange.go
+++ b/internal/control/exchange/exchange.go
@@ -18,12 +18,12 @@
 	Place figpier.ControlPlace
 	// PollWait is how long a poll is held while there is no change, and the time between two checks of the log's members.
 	PollWait time.Duration
-	// AskTimeout is how long after PollWait an unanswered poll fails.
-	AskTimeout time.Duration
+	// AnswerTimeout is how long after PollWait an unanswered poll fails.
+	AnswerTimeout time.Duration
 	// RetryPause is the pause after a poll that failed.
 	RetryPause time.Duration
-	// Silence is how long the members of a control instance that does not answer are kept.
-	Silence time.Duration
+	// SilenceTimeout is how long the members of a control instance that does not answer are kept.
+	SilenceTimeout time.Duration
 }
 
 // Exchange is the service that polls the other control instances for their members and answers their polls.
@@ -159,7 +159,7 @@
 	delete(x.controls, address)
 }
 
-// follow polls another control instance and merges its members into the registry. It drops them after Silence without an answer, and when ctx ends.
+// follow polls another control instance and merges its members into the registry. It drops them after SilenceTimeout without an answer, and when ctx ends.
 func (x *Exchange) follow(ctx context.Context, address string) {
 	defer x.drop(address)
 	known := message.MembersPoll{WaitMillis: int(x.config.PollWait.Milliseconds())}
@@ -174,7 +174,7 @@
 			known.MemberVersion = a.MemberVersion
 			continue
 		}
-		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.Silence {
+		if known.Registry != "" && x.clock.Now().Sub(lastAnswer) > x.config.SilenceTimeout {
 			x.drop(address)
 			known.Registry = ""
 		}
@@ -183,7 +183,7 @@
 }
 
 func (x *Exchange) poll(ctx context.Context, address string, known message.MembersPoll) (*message.MembersAnswer, error) {
-	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AskTimeout)
+	bounded, cancel := context.WithTimeout(ctx, x.config.PollWait+x.config.AnswerTimeout)
 	defer cancel()
 	a := &message.MembersAnswer{}
 	if err := x.messenger.Request(bounded, address, figpier.MethodMembers, known, a); err != nil {
--- a/internal/control/pool/pool.go
+++ b/internal/control/pool/pool.go
@@ -21,10 +21,10 @@
 	Address string
 	// Window is the length of the sliding window in which the fleet's requests are compared with the limit.
 	Window time.Duration
-	// Overage is the fraction by which the fleet may exceed a limit within the window.
-	Overage float64
-	// Slack is the number of requests by which the fleet may exceed a limit within the window, in addition to Overage.
-	Slack float64
+	// OverageFraction is the fraction by which the fleet may exceed a limit within the window.
+	OverageFraction float64
+	// SlackRequests is the number of requests by which the fleet may exceed a limit within the window, in addition to OverageFraction.
+	SlackRequests float64
 	// Log receives a debug line for each transfer that failed.
 	Log *logrus.Entry
 }
@@ -62,10 +62,10 @@
 	p.clock = d.Clock()
 	p.startedAt = p.clock.Now()
 	p.quotas = quota.New(quota.Config{
-		Window:  p.config.Window,
-		Overage: p.config.Overage,
-		Slack:   p.config.Slack,
-		Start:   p.startedAt,
+		Window:          p.config.Window,
+		OverageFraction: p.config.OverageFraction,
+		SlackRequests:   p.config.SlackRequests,
+		Start:           p.startedAt,
 	})
 	if p.catalog, err = figpier.FindCatalog(d); err != nil {
 		return err
--- a/internal/host/process/mesh.go
+++ b/internal/host/process/mesh.go
@@ -51,11 +51,11 @@
 	// intervals, as announcements can be seconds late.
 	backendTimeout = 15 * time.Second
 	// meshPollWait is how long a control instance holds a poll that has no news. A node detects an unresponsive control
-	// instance after meshPollWait plus meshAskTimeout. This has to leave time to put a configuration in force within two seconds
+	// instance after meshPollWait plus meshAnswerTimeout. This has to leave time to put a configuration in force within two seconds
 	// of its acceptance.
 	meshPollWait = 600 * time.Millisecond
-	// meshAskTimeout is how long a node waits for the answer to a poll beyond meshPollWait: many round trips between regions.
-	meshAskTimeout = 400 * time.Millisecond
+	// meshAnswerTimeout is how long a node waits for the answer to a poll beyond meshPollWait: many round trips between regions.
+	meshAnswerTimeout = 400 * time.Millisecond
 	// meshExchangeWait is how long a poll between control instances is held. Each poll sends a kilobyte between regions.
 	meshExchangeWait = 2500 * time.Millisecond
 	// meshMemberTimeout is how long the members of an unresponsive control instance are kept: two unanswered polls.
@@ -87,22 +87,22 @@
 		logs.NewRequests(l),
 		metrics.New(metrics.Config{Address: s.Metrics()}),
 		seeds.New(seeds.Config{Path: s.Path(), Seeds: m.Seeds, Read: seedAddresses, Log: l}),
-		jsonrpc.New(jsonrpc.Config{AskTimeout: defaultAskTimeout}),
+		jsonrpc.New(jsonrpc.Config{AnswerTimeout: defaultAnswerTimeout}),
 		configview.New(configview.Config{
-			DataCentre: figpier.DataCentre(s.DataCentre()),
-			Region:     figpier.Region(s.Region()),
-			Freshness:  scaleDuration(m.Withdrawal, freshnessFraction),
-			Margin:     defaultStaleMargin,
-			QuorumAge:  meshMaxQuorumAge,
-			PollWait:   meshPollWait,
-			AskTimeout: meshAskTimeout,
-			RetryPause: defaultRetryPause,
-			Log:        l,
+			DataCentre:    figpier.DataCentre(s.DataCentre()),
+			Region:        figpier.Region(s.Region()),
+			Freshness:     scaleDuration(m.Withdrawal, freshnessFraction),
+			StaleMargin:   defaultStaleMargin,
+			MaxQuorumAge:  meshMaxQuorumAge,
+			PollWait:      meshPollWait,
+			AnswerTimeout: meshAnswerTimeout,
+			RetryPause:    defaultRetryPause,
+			Log:           l,
 		}),
-		quota.New(quota.Config{Window: m.Quota.Window, Overage: m.Quota.Share, Slack: m.Quota.Slack, Log: l}),
+		quota.New(quota.Config{Window: m.Quota.Window, OverageFraction: m.Quota.Share, SlackRequests: m.Quota.Slack, Log: l}),
 		ranks.New(),
 		cutoffs.New(),
-		admission.New(admission.Config{Service: service, Stated: true}),
+		admission.New(admission.Config{Service: service, FixedLimit: true}),
 		router.New(router.Config{
 			DataCentre: figpier.DataCentre(s.DataCentre()),
 			Region:     figpier.Region(s.Region()),
@@ -110,11 +110,11 @@
 		}),
 		tablegate.New(tablegate.Config{Service: service}),
 		upstream.New(upstream.Config{
-			Address: m.Backend,
-			Silence: backendTimeout,
-			Notice:  scaleDuration(m.Drain, drainNoticeFraction),
-			Member:  meshMemberConfig(s, instance),
-			Log:     l,
+			Address:             m.Backend,
+			AnnouncementTimeout: backendTimeout,
+			DrainNotice:         scaleDuration(m.Drain, drainNoticeFraction),
+			Member:              meshMemberConfig(s, instance),
+			Log:                 l,
 		}),
 		platform.NewUpstreamAdapter(platform.UpstreamAdapterConfig{Address: m.Announcements, Service: service, Log: l}),
 		delivery.New(delivery.Config{Address: m.Peers, Service: service}),
@@ -126,7 +126,7 @@
 		}),
 		platform.NewReadinessProbe(platform.ReadinessProbeConfig{Address: m.Readiness}),
 		platform.NewCallerListener(platform.CallerListenerConfig{Address: m.Callers}),
-		stopping.New(stopping.Config{Serve: scaleDuration(m.Grace, servingFraction), Log: l}),
+		stopping.New(stopping.Config{DrainTime: scaleDuration(m.Grace, servingFraction), Log: l}),
 	)
 }
 
@@ -180,24 +180,24 @@
 	return k, registerAll(k,
 		metrics.New(metrics.Config{Address: s.Metrics()}),
 		seeds.New(seeds.Config{Path: s.Path(), Seeds: c.Seeds, Read: seedAddresses, Log: l}),
-		jsonrpc.New(jsonrpc.Config{Address: s.Messages(), AskTimeout: defaultAskTimeout}),
+		jsonrpc.New(jsonrpc.Config{Address: s.Messages(), AnswerTimeout: defaultAnswerTimeout}),
 		log,
 		states,
 		members.New(members.Config{Lease: defaultMemberLease}),
 		exchange.New(exchange.Config{
-			Place:      newControlPlace(s),
-			PollWait:   meshExchangeWait,
-			AskTimeout: defaultAskTimeout,
-			RetryPause: defaultRetryPause,
-			Silence:    meshMemberTimeout,
+			Place:          newControlPlace(s),
+			PollWait:       meshExchangeWait,
+			AnswerTimeout:  defaultAnswerTimeout,
+			RetryPause:     defaultRetryPause,
+			SilenceTimeout: meshMemberTimeout,
 		}),
 		subscription.New(),
 		pool.New(pool.Config{
-			Address: s.Messages(),
-			Window:  c.Quota.Window,
-			Overage: c.Quota.Share,
-			Slack:   c.Quota.Slack,
-			Log:     l,
+			Address:         s.Messages(),
+			Window:          c.Quota.Window,
+			OverageFraction: c.Quota.Share,
+			SlackRequests:   c.Quota.Slack,
+			Log:             l,
 		}),
 		platform.NewOperatorAPI(platform.OperatorAPIConfig{Address: c.Tables, Log: l}),
 	)
--- a/internal/host/process/node.go
+++ b/internal/host/process/node.go
@@ -42,8 +42,8 @@
 	defaultMaxAnnouncementAge = 3 * time.Second
 	// defaultPollWait is how long a control instance holds a poll that has no news.
 	defaultPollWait = 500 * time.Millisecond
-	// defaultAskTimeout is how long a message may stay unanswered.
-	defaultAskTimeout = 700 * time.Millisecond
+	// defaultAnswerTimeout is how long a message may stay unanswered.
+	defaultAnswerTimeout = 700 * time.Millisecond
 	// defaultRetryPause is the pause after a failed poll.
 	defaultRetryPause = 200 * time.Millisecond
 	// defaultPingAfter is the idle time after which the connection to another node is pinged, and the time that the ping may take.
@@ -78,12 +78,12 @@
 		metrics.New(metrics.Config{Address: s.Metrics(), TLS: security.Public()}),
 		jsonrpc.New(messengerConfig(s, security)),
 		configview.New(configview.Config{
-			Controls:   n.Controls,
-			Freshness:  n.Freshness.Or(defaultMaxViewAge),
-			Margin:     defaultStaleMargin,
-			PollWait:   defaultPollWait,
-			AskTimeout: defaultAskTimeout,
-			RetryPause: defaultRetryPause,
+			Controls:      n.Controls,
+			Freshness:     n.Freshness.Or(defaultMaxViewAge),
+			StaleMargin:   defaultStaleMargin,
+			PollWait:      defaultPollWait,
+			AnswerTimeout: defaultAnswerTimeout,
+			RetryPause:    defaultRetryPause,
 		}),
 		handles.New(),
 		locator.New(locator.Config{Controls: n.Controls}),
@@ -100,10 +100,10 @@
 		runner.New(),
 		exits,
 		backend.New(backend.Config{
-			Address:      n.Backend,
-			Announcement: n.Announcement.Or(defaultMaxAnnouncementAge),
-			Notice:       n.Leaving.Or(defaultLeaveNotice),
-			Member:       nodeMemberConfig(s, clock.Now()),
+			Address:             n.Backend,
+			AnnouncementTimeout: n.Announcement.Or(defaultMaxAnnouncementAge),
+			DrainNotice:         n.Leaving.Or(defaultLeaveNotice),
+			Member:              nodeMemberConfig(s, clock.Now()),
 		}, exits),
 		peer.New(peer.Config{
 			Address:   n.Peers,
@@ -112,7 +112,7 @@
 			PingAfter: defaultPeerPingAfter,
 		}),
 		caller.New(caller.Config{Address: n.Callers, TLS: security.Public()}),
-		leaving.New(leaving.Config{Notice: n.Leaving.Or(defaultLeaveNotice)}),
+		leaving.New(leaving.Config{LeaveNotice: n.Leaving.Or(defaultLeaveNotice)}),
 	)
 }
 
@@ -148,10 +148,10 @@
 // messengerConfig returns the configuration of the messenger between processes.
 func messengerConfig(s *settings.Settings, c *certificate.Set) jsonrpc.Config {
 	return jsonrpc.Config{
-		Address:    s.Messages(),
-		ServerTLS:  c.PeerServer(),
-		ClientTLS:  c.PeerClient(),
-		AskTimeout: defaultAskTimeout,
+		Address:       s.Messages(),
+		ServerTLS:     c.PeerServer(),
+		ClientTLS:     c.PeerClient(),
+		AnswerTimeout: defaultAnswerTimeout,
 	}
 }
 
--- a/internal/link/jsonrpc/messenger.go
+++ b/internal/link/jsonrpc/messenger.go
@@ -38,8 +38,8 @@
 	ServerTLS *tls.Config
 	// ClientTLS is the TLS configuration for connections to other processes, nil for plain TCP.
 	ClientTLS *tls.Config
-	// AskTimeout bounds a request whose context has no deadline.
-	AskTimeout time.Duration
+	// AnswerTimeout bounds a request whose context has no deadline.
+	AnswerTimeout time.Duration
 }
 
 // Messenger implements figpier.Messenger with one connection to each address. Both ends of a connection may send requests.
@@ -175,7 +175,7 @@
 // error.
 func (m *Messenger) Request(ctx context.Context, address string, method figpier.Method, message, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
-		c, cancel := context.WithTimeout(ctx, m.config.AskTimeout)
+		c, cancel := context.WithTimeout(ctx, m.config.AnswerTimeout)
 		defer cancel()
 		ctx = c
 	}
--- a/internal/policy/bucket/holder.go
+++ b/internal/policy/bucket/holder.go
@@ -35,8 +35,8 @@
 	ID HolderID
 	// MaxWait is how long a request may wait for a token.
 	MaxWait time.Duration
-	// AskTimeout is how long a request for tokens may stay unanswered before the next one is sent.
-	AskTimeout time.Duration
+	// AnswerTimeout is how long a request for tokens may stay unanswered before the next one is sent.
+	AnswerTimeout time.Duration
 }
 
 // Holder spends leased tokens at one node. It is not safe for concurrent use, and sends nothing itself: its owner calls
@@ -105,7 +105,7 @@
 // if only another call to the holder can make one due.
 func (h *Holder) Next(now time.Time) (a TokenRequestConfig, due bool, nextCheck time.Time) {
 	if h.inFlight {
-		timeout := h.lastSent.Add(h.config.AskTimeout)
+		timeout := h.lastSent.Add(h.config.AnswerTimeout)
 		if now.Before(timeout) {
 			return TokenRequestConfig{}, false, timeout
 		}
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -27,10 +27,10 @@
 type Config struct {
 	// Window is the period over which the excess of the whole fleet is bounded.
 	Window time.Duration
-	// Overage is the fraction by which the fleet may exceed a limit within the window.
-	Overage float64
-	// Slack is the number of requests by which the fleet may exceed a limit within the window in addition to Overage.
-	Slack float64
+	// OverageFraction is the fraction by which the fleet may exceed a limit within the window.
+	OverageFraction float64
+	// SlackRequests is the number of requests by which the fleet may exceed a limit within the window in addition to OverageFraction.
+	SlackRequests float64
 	// Start is the time from which empty buckets are filled, since earlier spending is not known.
 	Start time.Time
 }
@@ -152,7 +152,7 @@
 
 // allowedExcess returns the number of requests by which the fleet may exceed a limit within the window.
 func (t *Table) allowedExcess(l figpier.Limit) float64 {
-	return t.config.Overage*(l.Rate()*t.config.Window.Seconds()+l.Burst()) + t.config.Slack
+	return t.config.OverageFraction*(l.Rate()*t.config.Window.Seconds()+l.Burst()) + t.config.SlackRequests
 }
 
 // bucket returns the bucket of a customer, which is created empty if there is none.
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -23,8 +23,8 @@
 type Config struct {
 	// Service is the service of the backend server beside the node.
 	Service figpier.UpstreamService
-	// Stated makes the announced slots the limit; otherwise the limit is derived from service times.
-	Stated bool
+	// FixedLimit makes the announced slots the limit; otherwise the limit is derived from service times.
+	FixedLimit bool
 }
 
 // Admission implements figpier.Admission and figpier.Explainer. It is safe for concurrent use.
@@ -51,7 +51,7 @@
 func New(c Config) *Admission {
 	return &Admission{
 		config:     c,
-		controller: policy.New(policy.Config{FixedLimit: c.Stated}),
+		controller: policy.New(policy.Config{FixedLimit: c.FixedLimit}),
 		verdicts:   map[policy.CallID]chan policy.Verdict{},
 		refusals:   episode.New[refusalCause](episode.Config{Gap: bindingGap, MaxEntries: maxBindings}),
 	}
--- a/internal/traffic/backend/announce.go
+++ b/internal/traffic/backend/announce.go
@@ -127,11 +127,11 @@
 	s.state.incarnation = e.incarnation
 	a.address = e.address
 	a.slots = e.slots
-	a.expires = now.Add(s.config.Announcement)
+	a.expires = now.Add(s.config.AnnouncementTimeout)
 	if s.state.cancelExpiry != nil {
 		s.state.cancelExpiry()
 	}
-	s.state.cancelExpiry = s.control.PostAfter(s.config.Announcement, announcementExpired{})
+	s.state.cancelExpiry = s.control.PostAfter(s.config.AnnouncementTimeout, announcementExpired{})
 	s.admission.SetSlots(e.slots)
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	s.state.draining = true
-	s.state.cancelNotice = s.control.PostAfter(s.config.Notice, noticeOver{})
+	s.state.cancelNotice = s.control.PostAfter(s.config.DrainNotice, noticeOver{})
 }
 
 // cancelDrain ends a drain and accepts new work again, as another backend server has announced itself.
--- a/internal/traffic/backend/server.go
+++ b/internal/traffic/backend/server.go
@@ -31,11 +31,11 @@
 type Config struct {
 	// Address is the loopback address and port to listen on.
 	Address string
-	// Announcement is the age at which an announcement expires unless a newer one has come.
-	Announcement time.Duration
-	// Notice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
+	// AnnouncementTimeout is the age at which an announcement expires unless a newer one has come.
+	AnnouncementTimeout time.Duration
+	// DrainNotice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
 	// time to learn of it.
-	Notice time.Duration
+	DrainNotice time.Duration
 	// Member is the node's own entry in the members list; its slots and draining state are filled in here, and its sequence
 	// is added to.
 	Member figpier.MemberConfig
--- a/internal/traffic/claims/claims.go
+++ b/internal/traffic/claims/claims.go
@@ -16,8 +16,8 @@
 const (
 	// claimTimeout bounds the wait for the answer to a claim.
 	claimTimeout = 2 * time.Second
-	// askTimeout bounds one message to a primary, which waits for its backups before it answers.
-	askTimeout = 1500 * time.Millisecond
+	// answerTimeout bounds one message to a primary, which waits for its backups before it answers.
+	answerTimeout = 1500 * time.Millisecond
 	// retryPause is the pause before a message is sent again.
 	retryPause = 50 * time.Millisecond
 	// endTimeout bounds how long the end of an attempt is sent again.
@@ -150,7 +150,7 @@
 		return false
 	}
 	// The deadline of ctx is not passed on: cancelling a call keeps the shared connection, a passed deadline closes it.
-	askCtx, cancel := context.WithTimeout(a.claims.runCtx, askTimeout)
+	askCtx, cancel := context.WithTimeout(a.claims.runCtx, answerTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, cancel)()
 	if err := a.claims.messenger.Request(askCtx, address, method, m, answer); err != nil {
--- a/internal/traffic/configview/view.go
+++ b/internal/traffic/configview/view.go
@@ -24,18 +24,18 @@
 	DataCentre figpier.DataCentre
 	// Region is the region of that data centre.
 	Region figpier.Region
-	// QuorumAge is how long ago a control instance may last have known that it is current before the next one is polled,
+	// MaxQuorumAge is how long ago a control instance may last have known that it is current before the next one is polled,
 	// Freshness when 0.
-	QuorumAge time.Duration
+	MaxQuorumAge time.Duration
 	// Freshness is the greatest age of the view at which keys are accepted.
 	Freshness time.Duration
-	// Margin is how much older than Freshness the view gets before running requests that came with a key are ended.
-	Margin time.Duration
+	// StaleMargin is how much older than Freshness the view gets before running requests that came with a key are ended.
+	StaleMargin time.Duration
 	// PollWait is how long a control instance holds a poll while it has nothing new.
 	PollWait time.Duration
-	// AskTimeout is how long a poll may stay unanswered, beyond the time it is held, before the next control instance is
+	// AnswerTimeout is how long a poll may stay unanswered, beyond the time it is held, before the next control instance is
 	// tried.
-	AskTimeout time.Duration
+	AnswerTimeout time.Duration
 	// RetryPause is the pause after all control instances have failed or have been left.
 	RetryPause time.Duration
 	// Log receives a line for each configuration change and each failed poll. No lines are written when nil.
@@ -83,8 +83,8 @@
 		silent.SetOutput(io.Discard)
 		c.Log = logrus.NewEntry(silent)
 	}
-	if c.QuorumAge == 0 {
-		c.QuorumAge = c.Freshness
+	if c.MaxQuorumAge == 0 {
+		c.MaxQuorumAge = c.Freshness
 	}
 	v := &View{config: c, repollRequested: make(chan struct{}, 1), lastFailure: map[string]time.Time{}, lastPoll: map[string]time.Time{}, state: newState()}
 	v.published.Store(v.state.newSnapshot())
@@ -256,9 +256,9 @@
 }
 
 // poll sends one poll and waits until its answer is applied. It returns false if the control instance did not answer, or
-// has not known for QuorumAge that it is current. A poll that repoll ended counts as answered.
+// has not known for MaxQuorumAge that it is current. A poll that repoll ended counts as answered.
 func (v *View) poll(ctx context.Context, address string, wait time.Duration) bool {
-	pollCtx, cancel := context.WithTimeout(ctx, wait+v.config.AskTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, wait+v.config.AnswerTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	defer close(done)
@@ -293,7 +293,7 @@
 	case <-ctx.Done():
 	case <-e.applied:
 	}
-	if a.QuorumAgeMillis >= int(v.config.QuorumAge.Milliseconds()) {
+	if a.QuorumAgeMillis >= int(v.config.MaxQuorumAge.Milliseconds()) {
 		line := v.config.Log.WithFields(logrus.Fields{"control": address, "quorumAgeMillis": a.QuorumAgeMillis})
 		line.Warn("a control instance is behind")
 		return false
@@ -411,7 +411,7 @@
 	if v.state.stopTimer != nil {
 		v.state.stopTimer()
 	}
-	due := confirmed.Add(v.config.Freshness + v.config.Margin).Sub(now)
+	due := confirmed.Add(v.config.Freshness + v.config.StaleMargin).Sub(now)
 	v.state.stopTimer = v.control.PostAfter(due, staleTimerFired{confirmed: confirmed})
 }
 
--- a/internal/traffic/leaving/leaver.go
+++ b/internal/traffic/leaving/leaver.go
@@ -9,9 +9,9 @@
 
 // Config holds the settings of a Leaver.
 type Config struct {
-	// Notice is how long the node still accepts new work after it has announced that it leaves, so that other nodes have time
+	// LeaveNotice is how long the node still accepts new work after it has announced that it leaves, so that other nodes have time
 	// to learn of it.
-	Notice time.Duration
+	LeaveNotice time.Duration
 }
 
 // Leaver is the service that is stopped first: its Stop announces that the node leaves, waits for the notice, and then makes
@@ -39,7 +39,7 @@
 func (l *Leaver) Stop(ctx context.Context) error {
 	l.backend.Leave()
 	over := make(chan struct{})
-	cancel := l.clock.AfterFunc(l.config.Notice, func() { close(over) })
+	cancel := l.clock.AfterFunc(l.config.LeaveNotice, func() { close(over) })
 	defer cancel()
 	select {
 	case <-ctx.Done():
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// askTimeout bounds one request for tokens.
-	askTimeout = 500 * time.Millisecond
+	// answerTimeout bounds one request for tokens.
+	answerTimeout = 500 * time.Millisecond
 	// resendTime is how long a request for tokens may stay unanswered before another is sent.
 	resendTime = 60 * time.Millisecond
 	// retryPause is the pause after a failed request for tokens.
@@ -105,9 +105,9 @@
 		key:     k,
 		shard:   uint32(shard.ForLimit(k.customer, k.service)),
 		holder: bucket.NewHolder(bucket.HolderConfig{
-			ID:         l.id,
-			MaxWait:    l.config.MaxWait,
-			AskTimeout: resendTime,
+			ID:            l.id,
+			MaxWait:       l.config.MaxWait,
+			AnswerTimeout: resendTime,
 		}, now),
 		wake:  make(chan struct{}, 1),
 		users: 1,
--- a/internal/traffic/limiter/source.go
+++ b/internal/traffic/limiter/source.go
@@ -184,7 +184,7 @@
 	m.Shard = int(s.shard)
 	m.Customer = string(s.key.customer)
 	m.Service = string(s.key.service)
-	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	askCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	var g message.TokenGrant
 	err = s.limiter.messenger.Request(askCtx, address, figpier.MethodTokens, m, &g)
--- a/internal/traffic/quota/limiter.go
+++ b/internal/traffic/quota/limiter.go
@@ -18,8 +18,8 @@
 	// nodeCountHold is how long the reported number of nodes must stay lower before a node takes a larger share. A control
 	// instance that has just started reports too few.
 	nodeCountHold = 5 * time.Second
-	// askTimeout allows several round trips between regions.
-	askTimeout = 150 * time.Millisecond
+	// answerTimeout allows several round trips between regions.
+	answerTimeout = 150 * time.Millisecond
 	// poolLossTime is how long no poll must have been answered before a node spends its part of the pool itself. A control
 	// instance spends that part for 1.5 s after a poll, and the last poll that reached it may have been sent up to 1 s
 	// after the last one that was answered.
@@ -33,12 +33,12 @@
 
 // Config configures a Limiter.
 type Config struct {
-	// Window is the time over which the fleet may exceed a limit by Overage and Slack.
+	// Window is the time over which the fleet may exceed a limit by OverageFraction and SlackRequests.
 	Window time.Duration
-	// Overage is the share of a limit by which the fleet may exceed it within Window.
-	Overage float64
-	// Slack is the number of requests by which the fleet may exceed a limit within Window, in addition to Overage.
-	Slack float64
+	// OverageFraction is the share of a limit by which the fleet may exceed it within Window.
+	OverageFraction float64
+	// SlackRequests is the number of requests by which the fleet may exceed a limit within Window, in addition to OverageFraction.
+	SlackRequests float64
 	// Log receives lines while the pool does not answer, and one when it answers after the node was without a pool.
 	Log *logrus.Entry
 }
@@ -91,10 +91,10 @@
 // newTable returns a table whose buckets are empty and fill from now on.
 func (l *Limiter) newTable(now time.Time) *policy.Table {
 	return policy.New(policy.Config{
-		Window:  l.config.Window,
-		Overage: l.config.Overage,
-		Slack:   l.config.Slack,
-		Start:   now,
+		Window:          l.config.Window,
+		OverageFraction: l.config.OverageFraction,
+		SlackRequests:   l.config.SlackRequests,
+		Start:           now,
 	})
 }
 
@@ -139,7 +139,7 @@
 
 // askPool asks the control instance that this node polls for a token, and repays the customer's debt.
 func (l *Limiter) askPool(ctx context.Context, c figpier.CustomerID) (message.PoolAnswer, error) {
-	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	askCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	l.mu.Lock()
 	m := message.PoolAsk{Customer: string(c), Owed: l.debt.Owed(c), Nodes: l.countNodes(l.clock.Now())}
--- a/internal/traffic/stopping/stopper.go
+++ b/internal/traffic/stopping/stopper.go
@@ -12,8 +12,8 @@
 
 // Config holds the settings of a Stopper.
 type Config struct {
-	// Serve is how long open connections are still served after the node has become not ready.
-	Serve time.Duration
+	// DrainTime is how long open connections are still served after the node has become not ready.
+	DrainTime time.Duration
 	// Log receives a line at start and at stop.
 	Log *logrus.Entry
 }
@@ -57,10 +57,10 @@
 // Stop implements figpier.Service. It returns when the time to serve open connections is over or the context ends.
 func (s *Stopper) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
-	s.config.Log.WithField("serves", s.config.Serve.String()).Info("stopping: no new callers are taken")
+	s.config.Log.WithField("serves", s.config.DrainTime.String()).Info("stopping: no new callers are taken")
 	s.backend.Leave()
 	over := make(chan struct{})
-	cancel := s.clock.AfterFunc(s.config.Serve, func() { close(over) })
+	cancel := s.clock.AfterFunc(s.config.DrainTime, func() { close(over) })
 	defer cancel()
 	select {
 	case <-ctx.Done():
--- a/internal/traffic/upstream/event.go
+++ b/internal/traffic/upstream/event.go
@@ -125,13 +125,13 @@
 	}
 	u.draining = true
 	u.logEntry(u.newest).Info("the backend server is draining")
-	u.cancelNotice = u.control.PostAfter(u.config.Notice, noticeOver{incarnation: u.newest.Incarnation()})
+	u.cancelNotice = u.control.PostAfter(u.config.DrainNotice, noticeOver{incarnation: u.newest.Incarnation()})
 }
 
 // scheduleExpiry starts the timer after which the announcement expires, in place of that of the previous one.
 func (u *Upstream) scheduleExpiry(a figpier.Announcement) {
 	u.cancelExpiry()
-	u.cancelExpiry = u.control.PostAfter(u.config.Silence, announcementExpired{sequence: a.Sequence()})
+	u.cancelExpiry = u.control.PostAfter(u.config.AnnouncementTimeout, announcementExpired{sequence: a.Sequence()})
 }
 
 // onAnnouncementExpired marks the backend server as unknown unless a newer announcement has come.
--- a/internal/traffic/upstream/upstream.go
+++ b/internal/traffic/upstream/upstream.go
@@ -14,11 +14,11 @@
 type Config struct {
 	// Address is the IP address and port at which the backend server takes requests.
 	Address string
-	// Silence is the age at which an announcement expires unless a newer one has come.
-	Silence time.Duration
-	// Notice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
+	// AnnouncementTimeout is the age at which an announcement expires unless a newer one has come.
+	AnnouncementTimeout time.Duration
+	// DrainNotice is how long new work is still accepted after the backend server has begun to drain, so that other nodes have
 	// time to learn of it.
-	Notice time.Duration
+	DrainNotice time.Duration
 	// Member is the node's own entry in the members list; its slots, draining state and sequence are filled in here.
 	Member figpier.MemberConfig
 	// Log receives a line for each change of the backend server's state.
